--- a/decisions/src/main/java/wheattrack/policy/BackendSelector.java
+++ b/decisions/src/main/java/wheattrack/policy/BackendSelector.java
@@ -5,14 +5,15 @@
 import wheattrack.state.PolicyState;
 
 /**
- * Selects the backend of an attempt: the one whose interval contains the request's cost hint, or
- * the next one in id order that suits better.
+ * Selects the backend of an attempt: the one whose interval contains the request's cost hint if it
+ * suits, else the best of the backends that follow it in id order.
  */
 final class BackendSelector {
   /**
-   * How well a backend suits a request, best first. CROWDED: it has more than its share in flight.
-   * OTHER_ZONE: the request is not worth the crossing. TOO_LATE: it would miss its objective, or
-   * the backend is idle only because it fails. OVERLOADED: the wait is too long to be admitted.
+   * How well a backend suits a request, best first. CROWDED: it has more than its share of the cost
+   * in flight, or little time would be left. OTHER_ZONE: the value of the request does not justify
+   * the price of crossing zones. TOO_LATE: the request would miss its objective, or the backend is
+   * failing and its interval is another one. OVERLOADED: the wait is too long for admission.
    */
   private enum Preference {
     GOOD,
@@ -22,13 +23,18 @@
     OVERLOADED
   }
 
-  // bounds the work per request, whatever the number of backends
+  /** Bounds the work per request, whatever the number of backends. */
   private static final int MAX_CANDIDATES = 16;
-  // a request may cross zones if it is worth this many times the price
-  private static final double CROSSING_WORTH = 3;
 
+  /** A request may cross zones if its value is at least this many times the crossing price. */
+  private static final double MIN_VALUE_PER_CROSSING_PRICE = 3;
+
+  /** Multiple of its share of the cost in flight that a backend may have and not be crowded. */
   private static final double FAIR_SHARE_TOLERANCE = 1.2;
 
+  /** The mean cost divided by this is the cost ahead that a backend may have in any case. */
+  private static final int TOLERATED_COST_DIVISOR = 4;
+
   private final PolicyState state;
   private final EquiloadBalancer balancer;
   private final IntervalPartition partition;
@@ -39,14 +45,14 @@
     partition = balancer.partition;
   }
 
-  /** The ejected backend that the request shall probe, or null. */
+  /** The ejected backend that the request is to be sent to as a probe, or null. */
   BackendState selectForProbe(OpenRequest request) {
     if (!balancer.outliers.mayProbe(request)) {
       return null;
     }
     for (BackendState backend : partition.backends()) {
       if (balancer.outliers.isProbeDue(backend)
-          && balancer.slowStart.bears(backend, request.cost(), partition.size())) {
+          && balancer.slowStart.permits(backend, request.cost(), partition.size())) {
         balancer.outliers.onProbeRequest(backend);
         return backend;
       }
@@ -54,7 +60,12 @@
     return null;
   }
 
-  /** The backend for the next attempt, or null; first is the position of the request's interval. */
+  /**
+   * Selects the backend for the next attempt.
+   *
+   * @param first position of the request's interval in the partition
+   * @return the backend, or null if there is none to which the request may be sent now
+   */
   BackendState select(OpenRequest request, int first) {
     BackendState best = selectByPreference(request, first);
     return best == null && state.isIdle() ? selectLastResort(request, first) : best;
@@ -63,7 +74,7 @@
   private BackendState selectByPreference(OpenRequest request, int first) {
     BackendState best = null;
     Preference bestPreference = null;
-    double soonest = 0;
+    double earliestFinish = 0;
     int candidates = 0;
     for (int k = 0; k < partition.size() && candidates < MAX_CANDIDATES; k++) {
       BackendState backend = partition.at(first + k);
@@ -71,8 +82,8 @@
         continue;
       }
       candidates++;
-      double weighed = Math.max(request.cost(), request.request().costHint());
-      double finish = state.waits().timeToFinish(backend, weighed);
+      double cautiousCost = Math.max(request.cost(), request.request().costHint());
+      double finish = state.waits().timeToFinish(backend, cautiousCost);
       Preference preference = preferenceOf(backend, request, k == 0, finish);
       if (preference == Preference.GOOD) {
         return backend;
@@ -81,75 +92,82 @@
           preference.compareTo(Preference.TOO_LATE) >= 0 || state.reportedLoad().isExpected();
       if (best == null
           || preference.compareTo(bestPreference) < 0
-          || (preference == bestPreference && comparesTimes && finish < soonest)) {
+          || (preference == bestPreference && comparesTimes && finish < earliestFinish)) {
         best = backend;
         bestPreference = preference;
-        soonest = finish;
+        earliestFinish = finish;
       }
     }
     return best;
   }
 
-  private boolean isCandidate(BackendState backend, OpenRequest request, boolean own) {
+  private boolean isCandidate(BackendState backend, OpenRequest request, boolean ownInterval) {
     boolean allEjected = balancer.outliers.ejectedCount() >= partition.size();
-    boolean unsafe = request.requestClass().isNonIdempotent();
+    boolean nonIdempotent = request.requestClass().isNonIdempotent();
     return backend.isReady()
         && (!backend.isEjected() || allEjected)
         && mayRunAt(backend, request)
-        && balancer.slowStart.bears(backend, request.cost(), partition.size())
+        && balancer.slowStart.permits(backend, request.cost(), partition.size())
         && backend.inFlight() < Math.max(1, backend.capacity())
-        && (own || !unsafe || !state.failureRates().isFailing(backend));
+        && (ownInterval || !nonIdempotent || !state.failureRates().isFailing(backend));
   }
 
   private Preference preferenceOf(
-      BackendState backend, OpenRequest request, boolean own, double finish) {
+      BackendState backend, OpenRequest request, boolean ownInterval, double finish) {
     long timeLeft = request.timeLeft(state.now());
     if (!balancer.admission.admits(backend, timeLeft)) {
       return Preference.OVERLOADED;
     }
-    // a failing backend is often idle: requests must not gather there
-    if (finish > timeLeft || (!own && state.failureRates().isFailing(backend))) {
+    // a backend that fails fast is mostly idle, and would attract the requests of other intervals
+    if (finish > timeLeft || (!ownInterval && state.failureRates().isFailing(backend))) {
       return Preference.TOO_LATE;
     }
-    if (!state.zoneFactor().isOwn(backend) && !isWorthCrossing(request)) {
+    if (!state.zoneFactor().isOwn(backend) && !justifiesZoneCrossing(request)) {
       return Preference.OTHER_ZONE;
     }
-    double hintTime = request.request().costHint() / state.throughput().paceOf(backend);
-    boolean tight = finish + hintTime > timeLeft;
-    return tight || isCrowded(backend) ? Preference.CROWDED : Preference.GOOD;
+    double hintTime = request.request().costHint() / state.throughput().costPerTick(backend);
+    boolean littleTimeLeft = finish + hintTime > timeLeft;
+    return littleTimeLeft || isCrowded(backend) ? Preference.CROWDED : Preference.GOOD;
   }
 
-  private boolean isWorthCrossing(OpenRequest request) {
+  private boolean justifiesZoneCrossing(OpenRequest request) {
     double price = state.settings().zones().crossingPrice();
     return !state.reportedLoad().isExpected()
-        && request.worth() >= CROSSING_WORTH * price * state.meanWorth();
+        && request.value() >= MIN_VALUE_PER_CROSSING_PRICE * price * state.meanValue();
   }
 
   private boolean isCrowded(BackendState backend) {
     double meanCost = state.costs().meanCost();
+    double toleratedCost = meanCost / TOLERATED_COST_DIVISOR;
     if (backend.reportedAt() > 0
-        && state.reportedLoad().costAhead(backend, meanCost) > meanCost / 4) {
+        && state.reportedLoad().costAhead(backend, meanCost) > toleratedCost) {
       return true;
     }
     double fairCost =
         FAIR_SHARE_TOLERANCE * state.inFlight().cost() * backend.share() / partition.totalShare()
-            + meanCost / 4;
+            + toleratedCost;
     return !state.reportedLoad().isFresh(backend, state.now()) && backend.inFlightCost() > fairCost;
   }
 
-  /** All others are warming up or ejected: an ejected one may have recovered. */
+  /**
+   * The first backend to which the request may be sent, even if it is ejected: when all others are
+   * warming up or ejected, it may have recovered.
+   */
   private BackendState selectLastResort(OpenRequest request, int first) {
     for (int k = 0; k < partition.size(); k++) {
       BackendState backend = partition.at(first + k);
       if (mayRunAt(backend, request)
-          && balancer.slowStart.bears(backend, request.cost(), partition.size())) {
+          && balancer.slowStart.permits(backend, request.cost(), partition.size())) {
         return backend;
       }
     }
     return null;
   }
 
-  /** Rule two: no effect twice. Nor is a retry sent to the backend of the last attempt. */
+  /**
+   * Whether the request may be sent to a backend: it must have no second effect there, and a retry
+   * does not go to the backend of the last attempt.
+   */
   private boolean mayRunAt(BackendState backend, OpenRequest request) {
     return backend != request.lastBackend() && request.mayRepeatAt(backend);
   }
--- a/decisions/src/main/java/wheattrack/policy/EquiloadBalancer.java
+++ b/decisions/src/main/java/wheattrack/policy/EquiloadBalancer.java
@@ -16,8 +16,12 @@
 import wheattrack.state.PolicyState;
 import wheattrack.state.Ticks;
 
-/** Load balancing by EQUILOAD (docs/design.md): entry points and periodic work. */
+/**
+ * Load balancing by EQUILOAD (docs/design.md): the entry points of the policy and its periodic
+ * work. Not thread-safe.
+ */
 public final class EquiloadBalancer implements LoadBalancer {
+  /** Periodic checks within one tightest latency objective. */
   private static final int CHECKS_PER_OBJECTIVE = 10;
 
   final PolicyState state;
@@ -29,7 +33,13 @@
   final Set<RequestLifecycle> openRequests = new LinkedHashSet<>(); // oldest first
   private final DiscoveryBackoff discovery;
 
-  /** Creates the policy of proxy proxyIndex out of proxyCount; its draws follow from the seed. */
+  /**
+   * Creates the policy of one proxy with default settings; it does nothing before it is started.
+   *
+   * @param seed seed of all random draws
+   * @param proxyIndex index of this proxy, from 0
+   * @param proxyCount number of proxies
+   */
   public EquiloadBalancer(
       PolicyRuntime runtime, long seed, int proxyIndex, int proxyCount, RequestClass[] classes) {
     state = new PolicyState(runtime, seed, proxyIndex, proxyCount);
@@ -53,7 +63,7 @@
     if (watch) {
       state.runtime().watchEndpoints();
     }
-    foldSecond();
+    updateEverySecond();
     checkPeriodically();
   }
 
@@ -104,17 +114,17 @@
     return lifecycle;
   }
 
-  private void foldSecond() {
-    state.foldSecond(partition.backends());
-    admission.foldSecond();
-    state.endSecond();
+  private void updateEverySecond() {
+    state.updateEstimates(partition.backends());
+    admission.updateShedShare();
+    state.decayCounts();
     partition.rebuild();
-    state.runtime().schedule(Ticks.SECOND, this::foldSecond);
+    state.runtime().schedule(Ticks.SECOND, this::updateEverySecond);
   }
 
   private void checkPeriodically() {
     for (BackendState backend : partition.backends()) {
-      state.waits().averageWait(backend);
+      state.waits().updateMeanWait(backend);
       outliers.checkSilence(backend);
     }
     List.copyOf(openRequests).forEach(RequestLifecycle::check);
--- a/decisions/src/main/java/wheattrack/policy/IntervalPartition.java
+++ b/decisions/src/main/java/wheattrack/policy/IntervalPartition.java
@@ -12,12 +12,24 @@
  * to the backends' shares. If there are many proxies, each uses a subset of the backends.
  */
 final class IntervalPartition {
+  /** Number of proxies that use each backend when the subsets are larger than their minimum. */
   private static final int PROXIES_PER_BACKEND = 4;
+
+  /** Least size of a subset, in backends. */
   private static final int MIN_BACKENDS = 8;
-  // with load reports a smaller subset suffices, bounded by the connections that traffic is worth
+
+  // With load reports a smaller subset suffices: its least size is the number of idle connections
+  // that this proxy's traffic keeps open, within these bounds.
   private static final int MIN_BACKENDS_WITH_REPORTS = 2;
   private static final int MAX_MIN_BACKENDS_WITH_REPORTS = 6;
 
+  // The subset grows by this many backends for each ejected one, less this many times its size.
+  private static final int BACKENDS_ADDED_PER_EJECTED = 4;
+  private static final int SUBSET_SIZES_WITHOUT_GROWTH = 2;
+
+  /** A cost hint is an integer: hints of one value lie between it less and plus a half. */
+  private static final double HALF_HINT = 0.5;
+
   private final PolicyState state;
   private final OutlierDetector outliers;
   private BackendState[] backends = {};
@@ -34,8 +46,8 @@
   }
 
   /** The backend at a position; positions past the end wrap around. */
-  BackendState at(int place) {
-    return backends[place % backends.length];
+  BackendState at(int position) {
+    return backends[position % backends.length];
   }
 
   int size() {
@@ -51,42 +63,46 @@
   void rebuild() {
     BackendState[] ready = state.backends().readyInIdOrder();
     state.traffic().setReadyBackends(ready.length);
-    int part = partSize(ready.length);
-    // incident: with many backends ejected, the rest of a small subset could not bear its traffic
-    int size = Math.min(ready.length, part + Math.max(0, 4 * outliers.ejectedCount() - 2 * part));
-    long start = (long) state.proxyIndex() * part;
+    int regularSize = subsetSize(ready.length);
+    // with many backends ejected, the rest of a small subset would be overloaded by its traffic
+    int added =
+        BACKENDS_ADDED_PER_EJECTED * outliers.ejectedCount()
+            - SUBSET_SIZES_WITHOUT_GROWTH * regularSize;
+    int size = Math.min(ready.length, regularSize + Math.max(0, added));
+    long start = (long) state.proxyIndex() * regularSize;
     backends =
         IntStream.range(0, ready.length)
             .filter(i -> Math.floorMod(i - start, ready.length) < size)
             .mapToObj(i -> ready[i])
             .toArray(BackendState[]::new);
     state.setProxiesPerBackend((double) state.proxyCount() * size / Math.max(1, ready.length));
-    state.failureRates().compareAmong(backends);
+    state.failureRates().updateMedian(backends);
     outliers.recount(backends);
-    sumShares();
+    computeShares();
   }
 
-  private int partSize(int readyCount) {
-    int least = MIN_BACKENDS;
+  private int subsetSize(int readyCount) {
+    int minSize = MIN_BACKENDS;
     if (state.reportedLoad().isExpected()) {
       double bounded = Math.min(MAX_MIN_BACKENDS_WITH_REPORTS, state.traffic().idleConnections());
-      least = (int) Math.max(MIN_BACKENDS_WITH_REPORTS, bounded);
+      minSize = (int) Math.max(MIN_BACKENDS_WITH_REPORTS, bounded);
     }
-    return (int) Math.max(least, PROXIES_PER_BACKEND * readyCount * state.traffic().ownShare());
+    return (int) Math.max(minSize, PROXIES_PER_BACKEND * readyCount * state.traffic().ownShare());
   }
 
-  private void sumShares() {
+  private void computeShares() {
     cumulativeShares = new double[backends.length];
     double sum = 0;
     for (int i = 0; i < backends.length; i++) {
       BackendState backend = backends[i];
-      double pace = state.throughput().paceOf(backend) / state.throughput().paceOfKind(backend);
+      double relativeThroughput =
+          state.throughput().costPerTick(backend) / state.throughput().costPerTickOfKind(backend);
       backend.setShare(
           backend.weight()
               * state.throughput().speedOfKind(backend)
-              * Math.sqrt(pace)
+              * Math.sqrt(relativeThroughput)
               * state.failureRates().healthOf(backend)
-              * state.warmUp().warmth(backend)
+              * state.warmUp().capacityFraction(backend)
               * state.zoneFactor().of(backend));
       sum += backend.share();
       cumulativeShares[i] = sum;
@@ -94,22 +110,25 @@
   }
 
   /**
-   * The position of the backend whose interval contains a hint; the partition must not be empty. A
-   * hint at a boundary goes to either side in proportion to the costs covered. It counts as one
-   * more sample, so that few samples give a nearly random choice. Without a hint the choice is
-   * uniform.
+   * The position of the backend whose interval contains a hint; the partition must not be empty. If
+   * the requests of one hint span several intervals, one is drawn in proportion to the cost that it
+   * covers. The hint counts as one more sample of the window, so that the choice is nearly random
+   * while there are few samples. Without a hint the choice is uniform.
+   *
+   * @param hint the cost hint; 0 or less if there is none
    */
-  int place(int hint) {
+  int positionOf(int hint) {
     double draw = state.random().draw();
     if (hint <= 0) {
       return (int) (draw * backends.length);
     }
     CostModel costs = state.costs();
-    double own = costs.costOf(hint);
-    double low = costs.costOfSmallest(costs.hintsBelow(hint - 0.5));
-    double high = costs.costOfSmallest(costs.hintsBelow(hint + 0.5)) + own;
-    double at = (low + draw * (high - low)) / (costs.totalCost() + own) * totalShare();
-    int i = Arrays.binarySearch(cumulativeShares, at);
+    double hintCost = costs.costOf(hint);
+    double costBelow = costs.costOfSmallest(costs.hintsBelow(hint - HALF_HINT));
+    double costUpTo = costs.costOfSmallest(costs.hintsBelow(hint + HALF_HINT)) + hintCost;
+    double shareAt =
+        (costBelow + draw * (costUpTo - costBelow)) / (costs.totalCost() + hintCost) * totalShare();
+    int i = Arrays.binarySearch(cumulativeShares, shareAt);
     return Math.min(backends.length - 1, i < 0 ? -i - 1 : i + 1);
   }
 }
--- a/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
+++ b/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
@@ -10,13 +10,21 @@
 import wheattrack.state.Ticks;
 
 /**
- * Ejects backends that do not answer or reject immediately, and reinstates them at their next
- * answer. An ejected backend receives only a probe request from time to time.
+ * Ejects backends that have not answered for too long or that reject a request immediately while
+ * they have nothing else in flight, and reinstates them at their next answer. An ejected backend
+ * receives only a probe request from time to time.
  */
 final class OutlierDetector {
-  // least number of requests between two probe requests, so that few are put at risk
+  /** Least number of requests between two probe requests, so that few requests are put at risk. */
   private static final int REQUESTS_PER_PROBE = 8;
-  private static final double MEAN_TIMES_TO_WAIT = 6;
+
+  /** The tightest objective divided by this is the silence that is tolerated in any case. */
+  private static final double SILENCE_DIVISOR = 2.0;
+
+  /** Tolerated silence for the work in flight, in times to finish it and a mean request. */
+  private static final double TOLERATED_FINISH_TIMES = 6;
+
+  /** Longest time between two probe requests to a backend, in ticks. */
   private static final long MAX_PROBE_INTERVAL = 4 * Ticks.SECOND;
 
   private final PolicyState state;
@@ -37,27 +45,33 @@
     ejectedCount = (int) Arrays.stream(backends).filter(BackendState::isEjected).count();
   }
 
-  /** Ejects a backend that has not answered for too long, judged by the work it has in flight. */
+  /** Ejects a backend that has not answered for too long for the work that it has in flight. */
   void checkSilence(BackendState backend) {
     if (backend.inFlight() == 0) {
       return;
     }
     double silence = backend.timeWithoutAnswer();
-    double meanTime = state.waits().timeToFinish(backend, (int) state.costs().meanCost());
-    double byWork = MEAN_TIMES_TO_WAIT * meanTime / (1 + backend.inFlight());
-    double patience = state.tightestObjective() / 2.0 + byWork;
-    if (silence > patience) {
-      long millis = (long) backend.timeWithoutAnswer() / 10;
+    double finishTime = state.waits().timeToFinish(backend, (int) state.costs().meanCost());
+    double toleratedForWork = TOLERATED_FINISH_TIMES * finishTime / (1 + backend.inFlight());
+    double toleratedSilence = state.tightestObjective() / SILENCE_DIVISOR + toleratedForWork;
+    if (silence > toleratedSilence) {
+      long millis = (long) backend.timeWithoutAnswer() / Ticks.MILLISECOND;
       setEjected(backend, true, backend.inFlight() + " out, silent for " + millis + " ms");
     }
   }
 
-  /** Ejects or reinstates a backend by the outcome of an attempt that is accounted for. */
+  /**
+   * Ejects or reinstates a backend by the outcome of an attempt, which must have been recorded in
+   * the backend's state before.
+   *
+   * @param latency time from sending to the outcome, in ticks
+   */
   void onOutcome(Attempt attempt, AttemptOutcome outcome, long latency) {
     BackendState backend = attempt.backend();
-    // incident: up to four attempts per request went to closed ports; a late rejection is not meant
-    boolean atOnce = latency < AdmissionControl.TOLERATED_WAIT * state.tightestObjective();
-    if (outcome.isRejection() && backend.inFlight() == 0 && atOnce) {
+    // Guards against spending up to four attempts per request on closed ports. A rejection after a
+    // wait comes from a backend that is running.
+    boolean immediate = latency < AdmissionControl.TOLERATED_WAIT * state.tightestObjective();
+    if (outcome.isRejection() && backend.inFlight() == 0 && immediate) {
       setEjected(backend, true, "turned away with nothing out");
     }
     if (outcome == AttemptOutcome.DONE || outcome == AttemptOutcome.ERROR) {
@@ -85,10 +99,12 @@
         && state.traffic().requests() - requestsAtLastProbe >= REQUESTS_PER_PROBE;
   }
 
+  /** Whether a backend is ejected and the time of its next probe request has come. */
   boolean isProbeDue(BackendState backend) {
     return backend.isEjected() && state.now() >= backend.nextProbeRequestAt();
   }
 
+  /** Records that a probe request is sent to a backend. */
   void onProbeRequest(BackendState backend) {
     requestsAtLastProbe = state.traffic().requests();
     backend.backOffProbeRequests(state.now(), MAX_PROBE_INTERVAL);
--- a/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
+++ b/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
@@ -14,22 +14,26 @@
 
 /** One request from arrival to final answer: its attempts, retries, hedging and rejection. */
 final class RequestLifecycle implements RequestHandle {
+  /** Backends that are probed for their load before a first attempt. */
   private static final int LOAD_PROBES = 2;
 
-  // fractions of a latency objective or of the time left, as divisors
+  // Each divides a latency objective or the time left.
   private static final int LOAD_PROBE_TIMEOUT_DIVISOR = 30;
   private static final int GIVE_UP_MARGIN_DIVISOR = 10;
   private static final int STUCK_AFTER_DIVISOR = 4;
   private static final int HEDGE_AFTER_DIVISOR = 3;
   private static final int RETRY_AFTER_DIVISOR = 4;
 
+  /** The delay before hedging is longer by this number divided by the number of proxies. */
+  private static final double HEDGE_DELAY_PROXIES = 3.0;
+
   private final EquiloadBalancer balancer;
   private final PolicyState state;
   private final IntervalPartition partition;
   private final AdmissionControl admission;
   private final OpenRequest open;
   private final int maxAttempts;
-  private int place = -1;
+  private int position = -1;
 
   RequestLifecycle(EquiloadBalancer balancer, OpenRequest open) {
     this.balancer = balancer;
@@ -40,20 +44,26 @@
     maxAttempts = state.settings().attempts().maxAttempts();
   }
 
-  /** The position of its interval; for the first attempt the one probed, for retries a new draw. */
-  private int firstPlace() {
-    if (place < 0 || !open.attempts().isEmpty()) {
-      place = partition.place(open.request().costHint());
+  /**
+   * The position of the request's interval. It is drawn once for the load probes and the first
+   * attempt, and anew for each retry.
+   */
+  private int firstPosition() {
+    if (position < 0 || !open.attempts().isEmpty()) {
+      position = partition.positionOf(open.request().costHint());
     }
-    return place % partition.size();
+    return position % partition.size();
   }
 
-  /** Sends the first attempt, after load probes to the first backends of its interval if in use. */
+  /**
+   * Sends the first attempt; if load reports come only by probes, after probing the first backends
+   * from the request's interval on.
+   */
   void start() {
     int wanted = state.settings().loadReports().areProbedFor() ? LOAD_PROBES : 0;
     List<BackendState> probed = new ArrayList<>(wanted);
     for (int k = 0; k < partition.size() && probed.size() < wanted; k++) {
-      BackendState backend = partition.at(firstPlace() + k);
+      BackendState backend = partition.at(firstPosition() + k);
       if (backend.isReady() && !backend.isEjected()) {
         probed.add(backend);
       }
@@ -62,7 +72,7 @@
     LoadProbeRound.start(state.runtime(), probed, timeout, this::sendOrGiveUp);
   }
 
-  /** Sends the next attempt, or gives the final answer if no further attempt can help. */
+  /** Sends the next attempt. If none can be sent and none is in flight, gives the final answer. */
   private void sendOrGiveUp() {
     if (open.isClosed()) {
       return;
@@ -73,11 +83,11 @@
         && open.attempts().size() < maxAttempts
         && now < open.request().deadline()) {
       backend = balancer.selector.selectForProbe(open);
-      backend = backend != null ? backend : balancer.selector.select(open, firstPlace());
+      backend = backend != null ? backend : balancer.selector.select(open, firstPosition());
     }
-    boolean shed = admission.sheds(open);
-    boolean hopeless = admission.isHopeless(open, backend);
-    if (backend != null && !hopeless && !shed && admission.admits(backend, open.timeLeft(now))) {
+    boolean shed = admission.shouldShed(open);
+    boolean tooHeavy = admission.isTooHeavyForDeadline(open, backend);
+    if (backend != null && !tooHeavy && !shed && admission.admits(backend, open.timeLeft(now))) {
       send(backend);
     } else if (open.attemptsInFlight() == 0) {
       if (open.attempts().isEmpty()) {
@@ -102,7 +112,8 @@
     balancer.slowStart.spend(backend, open.cost());
     admission.onSent();
     long timeout = open.request().deadline() - attempt.sentAt();
-    AttemptCallback callback = (how, latency, ended) -> onOutcome(attempt, how, latency, ended);
+    AttemptCallback callback =
+        (outcome, latency, ended) -> onOutcome(attempt, outcome, latency, ended);
     state.runtime().sendAttempt(open.request(), backend.index(), timeout, callback);
   }
 
@@ -127,7 +138,7 @@
   /** Rejects the request if a retry by the client is safe, else fails it. */
   private void giveUp() {
     close(false);
-    // rule two: what may have run is rejected only if a client's retry has no second effect
+    // a request that may have run is rejected only if the client's retry has no second effect
     if (open.mayHaveRun() && !open.requestClass().isClientRetrySafe()) {
       state.runtime().fail(open.request());
       return;
@@ -153,7 +164,10 @@
     }
   }
 
-  /** Gives up a hopeless request early; hedges a stuck one, or cancels its attempt to retry it. */
+  /**
+   * Gives up a request that is nearly out of time; hedges a request whose only attempt is stuck, or
+   * cancels that attempt so that it is retried. Must be called periodically.
+   */
   void check() {
     if (isOutOfTime()) {
       giveUp();
@@ -177,10 +191,14 @@
     }
   }
 
-  /** Whether the objective is nearly over, late answers are worthless, and giving up is better. */
+  /**
+   * Whether to give up a request: its time is nearly over and a late answer has no value. It is not
+   * given up if its client could still retry it, unless load is shed: the same work would then be
+   * done twice.
+   */
   private boolean isOutOfTime() {
     if (open.isStreaming()
-        || !open.isWorthlessWhenLate()
+        || !open.hasNoValueWhenLate()
         || open.timeLeft(state.now()) > state.tightestObjective() / GIVE_UP_MARGIN_DIVISOR) {
       return false;
     }
@@ -196,12 +214,12 @@
   }
 
   private boolean isWorthHedging(Attempt attempt) {
-    long patience = open.requestClass().latencyObjective() / HEDGE_AFTER_DIVISOR;
+    long hedgeAfter = open.requestClass().latencyObjective() / HEDGE_AFTER_DIVISOR;
     return state.settings().attempts().mayHedge()
         && admission.shedShare() == 0
         && attempt.backend().inFlight() == 1
-        && open.isWorthlessWhenLate()
-        && open.age() > patience * (1 + 3.0 / state.proxyCount());
+        && open.hasNoValueWhenLate()
+        && open.age() > hedgeAfter * (1 + HEDGE_DELAY_PROXIES / state.proxyCount());
   }
 
   @Override
--- a/decisions/src/main/java/wheattrack/policy/SlowStart.java
+++ b/decisions/src/main/java/wheattrack/policy/SlowStart.java
@@ -4,13 +4,22 @@
 import wheattrack.state.PolicyState;
 
 /**
- * Rule four: backends that warm up are not overloaded by all proxies together. Proxies begin to
- * send one after the other, each within a budget that refills at the rate that the backend can
- * sustain.
+ * Keeps the proxies together from overloading backends that warm up. The proxies begin to send to a
+ * new backend one after the other, each within a budget of cost that refills at this proxy's part
+ * of the rate that the backend sustains.
  */
 final class SlowStart {
-  // fraction of the bearable load that may arrive at once
-  private static final double BURST_PART = 0.25;
+  /** Fraction of a backend's capacity that is left for bursts; divided by the number of proxies. */
+  private static final double BURST_FRACTION = 0.25;
+
+  /** The overload time divided by this is the time between the starts of two proxies. */
+  private static final int START_INTERVAL_DIVISOR = 4;
+
+  /** The warm-up time divided by this is the time within which all proxies start. */
+  private static final int START_PERIOD_DIVISOR = 2;
+
+  /** The budget of a whole overload time divided by this may be spent in one burst. */
+  private static final int BURST_DIVISOR = 3;
 
   private final PolicyState state;
 
@@ -18,7 +27,10 @@
     this.state = state;
   }
 
-  /** After a restart a random part of the budget is spent, so that proxies do not send in step. */
+  /**
+   * Resets the budget after a restart. A random part of a mean cost counts as spent, so that the
+   * proxies do not send at the same time.
+   */
   void restart(BackendState backend) {
     backend.setSlowStartSpent(state.costs().meanCost() * state.random().draw(), state.now());
   }
@@ -28,20 +40,26 @@
     backend.spendSlowStart(Math.max(cost, state.costs().meanCost()));
   }
 
-  /** Proxies begin to use a new backend in turns by index, one more proxy with each turn. */
-  private boolean isOurTurn(BackendState backend) {
-    long turn = Math.max(1, state.settings().slowStart().overloadTime() / 4);
-    long warmUpTurns = state.settings().slowStart().warmUpTime() / 2 / turn;
-    long turns = Math.max(1, Math.min((long) state.proxiesPerBackend(), warmUpTurns));
-    return backend.age(state.now()) >= state.proxyIndex() % turns * turn;
+  /**
+   * Whether this proxy may begin to use a backend at its age. The proxies begin one interval after
+   * the other, in the order of their indices.
+   */
+  private boolean hasStartTimeCome(BackendState backend) {
+    long interval =
+        Math.max(1, state.settings().slowStart().overloadTime() / START_INTERVAL_DIVISOR);
+    long maxIntervals = state.settings().slowStart().warmUpTime() / START_PERIOD_DIVISOR / interval;
+    long intervals = Math.max(1, Math.min((long) state.proxiesPerBackend(), maxIntervals));
+    return backend.age(state.now()) >= state.proxyIndex() % intervals * interval;
   }
 
   /**
-   * Whether a backend can take a request of this cost from this proxy now. Incident: backends that
-   * had just started were overloaded and failed.
+   * Whether this proxy may send a request of this cost to a backend now. Without this limit,
+   * backends that have just started are overloaded and fail.
+   *
+   * @param partitionSize number of backends that this proxy uses
    */
-  boolean bears(BackendState backend, double cost, int partitionSize) {
-    if (!isOurTurn(backend)) {
+  boolean permits(BackendState backend, double cost, int partitionSize) {
+    if (!hasStartTimeCome(backend)) {
       return false;
     }
     if (state.warmUp().isWarm(backend)) {
@@ -50,15 +68,16 @@
     if (state.throughput().warmRate() == 0) {
       return backend.inFlight() == 0 && (partitionSize <= 1 || state.isIdle());
     }
-    double safePart = 1 - BURST_PART / state.proxiesPerBackend();
+    double reliableFraction = 1 - BURST_FRACTION / state.proxiesPerBackend();
     double multiple = state.settings().slowStart().overloadMultiple();
-    double rate = multiple * state.warmUp().rate(backend, safePart);
+    double rate = multiple * state.warmUp().rate(backend, reliableFraction);
     backend.refillSlowStart(rate, state.now());
     double meanCost = state.costs().meanCost();
     double needed = Math.max(cost, meanCost);
-    double window = rate * state.settings().slowStart().overloadTime();
-    // a third of the window's budget at once; or a single request that is not heavy
-    double atOnce = Math.max(window / 3, Math.min(needed, Math.max(window, meanCost)));
-    return backend.slowStartSpent() + needed <= atOnce;
+    double windowBudget = rate * state.settings().slowStart().overloadTime();
+    // a burst may spend a third of the budget, or more for a single request that is not heavy
+    double largestSingle = Math.min(needed, Math.max(windowBudget, meanCost));
+    double burstBudget = Math.max(windowBudget / BURST_DIVISOR, largestSingle);
+    return backend.slowStartSpent() + needed <= burstBudget;
   }
 }
--- a/decisions/src/main/java/wheattrack/state/BackendState.java
+++ b/decisions/src/main/java/wheattrack/state/BackendState.java
@@ -13,8 +13,15 @@
   /** Capacity of a backend that has rejected nothing yet, in requests in flight. */
   private static final double UNLIMITED_CAPACITY = 1024;
 
+  /** A weight that is not below this, or not above 0, counts as 1. */
   private static final double MAX_WEIGHT = 1e9;
 
+  /** Attempts without failure that are added to the counts, so that few attempts tell little. */
+  private static final int PRIOR_ATTEMPTS = 2;
+
+  /** The mean wait is updated this many times per tightest objective. */
+  private static final int WAIT_UPDATES_PER_OBJECTIVE = 10;
+
   private final int index;
   private long id;
   private int zone;
@@ -39,7 +46,7 @@
 
   private double costDone;
   private double busyTime;
-  private long settledAt;
+  private long busyTimeCountedUntil;
   private double timeWithoutAnswer;
   private double meanWait;
   private long lastOutcomeAt;
@@ -86,7 +93,7 @@
     ready = false;
   }
 
-  /** Its dense index. */
+  /** Its index in the {@link BackendTable}; indices are dense. */
   public int index() {
     return index;
   }
@@ -121,7 +128,7 @@
     return ready;
   }
 
-  /** The time since its start. */
+  /** The time since its start, in ticks. */
   public long age(long now) {
     return now - startedAt;
   }
@@ -140,7 +147,7 @@
     nextProbeRequestAt = now + interval;
   }
 
-  /** When the next probe request may be sent. */
+  /** When the next probe request may be sent, in ticks. */
   public long nextProbeRequestAt() {
     return nextProbeRequestAt;
   }
@@ -159,10 +166,10 @@
 
   /** Share of recent attempts that failed; near 0 for a backend with few attempts. */
   public double failureRate() {
-    return failures / (attempts + 2);
+    return failures / (attempts + PRIOR_ATTEMPTS);
   }
 
-  /** The time with attempts in flight since its last answer. */
+  /** The time with attempts in flight since its last answer, in ticks. */
   public double timeWithoutAnswer() {
     return timeWithoutAnswer;
   }
@@ -214,12 +221,12 @@
     abandonedCost += cost;
   }
 
-  /** Lowers the capacity after a rejection to the attempts in flight now. */
+  /** Lowers the capacity after a rejection to the number of attempts in flight now. */
   public void lowerCapacity() {
     capacity = Math.min(capacity, inFlight);
   }
 
-  /** Raises the capacity after an answer, as it may be larger than estimated. */
+  /** Raises the capacity a little after an answer, as it may be larger than estimated. */
   public void raiseCapacity() {
     capacity += 1 / Math.max(1, capacity);
   }
@@ -247,7 +254,7 @@
     return reportedInFlight;
   }
 
-  /** When it last reported, or 0. */
+  /** When it last reported, in ticks; 0 if it has not. */
   public long reportedAt() {
     return reportedAt;
   }
@@ -269,16 +276,21 @@
     costDone += cost;
   }
 
-  /** Returns the time since the last call. */
-  long settle(long now) {
-    long elapsed = now - settledAt;
-    settledAt = now;
+  /** Starts a new period of busy time, and returns the time since the last call in ticks. */
+  long startBusyTimePeriod(long now) {
+    long elapsed = now - busyTimeCountedUntil;
+    busyTimeCountedUntil = now;
     return elapsed;
   }
 
-  /** Records time with attempts in flight. */
-  void addBusyTime(double work, long elapsed) {
-    busyTime += work;
+  /**
+   * Records time with attempts in flight.
+   *
+   * @param countedTime elapsed time as it counts towards throughput, in ticks
+   * @param elapsed elapsed time, in ticks
+   */
+  void addBusyTime(double countedTime, long elapsed) {
+    busyTime += countedTime;
     timeWithoutAnswer += elapsed;
   }
 
@@ -287,22 +299,25 @@
     abandonedCost = Math.max(0, abandonedCost - cost);
   }
 
-  /** Mean wait over about the last second. */
+  /** Mean wait over about the last second, in ticks. */
   public double meanWait() {
     return meanWait;
   }
 
-  /** Updates the mean wait; the present one weighs a tenth of the objective against a second. */
-  void averageWait(double wait, long objective) {
-    meanWait += (wait - meanWait) * objective / 10 / Ticks.SECOND;
+  /**
+   * Moves the mean wait towards the present one, by the time between two updates as a fraction of a
+   * second.
+   */
+  void updateMeanWait(double wait, long objective) {
+    meanWait += (wait - meanWait) * objective / WAIT_UPDATES_PER_OBJECTIVE / Ticks.SECOND;
   }
 
-  /** Applies the decay of one period to all measurements. */
-  void decay(double keep) {
-    costDone *= keep;
-    busyTime *= keep;
-    attempts *= keep;
-    failures *= keep;
+  /** Multiplies all sums that decay by a factor. */
+  void decay(double factor) {
+    costDone *= factor;
+    busyTime *= factor;
+    attempts *= factor;
+    failures *= factor;
   }
 
   /** Converts all costs to a new unit. */
--- a/decisions/src/main/java/wheattrack/state/CostModel.java
+++ b/decisions/src/main/java/wheattrack/state/CostModel.java
@@ -15,33 +15,37 @@
  * doubles. Not thread-safe.
  */
 public final class CostModel {
-  /** Hints in the window. */
+  /** Number of hints in the window. */
   public static final int WINDOW = 2000;
 
-  /** Hints that tell whether their unit has changed. */
+  /** Number of latest hints that are compared with the window to detect a change of their unit. */
   private static final int RECENT = 16;
 
   /** Smallest change of the mean logarithm that counts as a change of unit. */
   private static final double MIN_UNIT_CHANGE = Math.log(8);
 
-  /** The same in standard errors of the recent hints' mean logarithm. */
+  /** The same, in standard errors of the mean logarithm of the recent hints. */
   private static final double UNIT_CHANGE_ERRORS = 5;
 
-  /** Hints over this many times the median count as that. */
-  private static final double OUTLIER_MULTIPLE = 1000;
+  /** Hints above this many times the median count as that limit. */
+  private static final double MAX_MEDIAN_MULTIPLE = 1000;
 
   /** Part of the mean cost that every request costs at least. */
   private static final double BASE_SHARE = 0.25;
 
-  /** Weight of a latency above the fit: such latencies hold the queues of others. */
+  /** Weight of a latency above the fit, as it may include a wait behind other proxies' requests. */
   private static final double WEIGHT_ABOVE_FIT = 0.1;
 
-  /** Weight of the prior in requests, and its exponent, where no load is reported. */
+  /** Weight of the prior exponent, in requests, where no load is reported. */
   private static final double PRIOR_WEIGHT = 8;
 
+  /** Exponent of the prior where no load is reported. */
   private static final double PRIOR_EXPONENT = 0.5;
 
-  /** Exponent of the prior where backends report load; it has twice the weight. */
+  /**
+   * Exponent of the prior where backends report load; it has twice the weight, as hints are trusted
+   * more.
+   */
   private static final double PRIOR_EXPONENT_WITH_REPORTS = 0.8;
 
   private static final double MIN_EXPONENT = 0.1;
@@ -49,7 +53,7 @@
   /** Notified of changes that concern all costs. */
   public interface Listener {
     /** The unit of hints has changed: recent hints are this percentage of earlier ones. */
-    void hintUnitChanged(long perCent);
+    void hintUnitChanged(long percent);
 
     /** All costs known so far are to be multiplied by this factor. */
     void costsRescaled(double factor);
@@ -59,7 +63,7 @@
   private final DecayingLinearRegression latencyFit = new DecayingLinearRegression(WINDOW);
   private final double[] window = new double[WINDOW];
   private long hintsSeen;
-  private boolean hintsBeganLate;
+  private boolean requestsCameBeforeHints;
   private double[] sortedHints = {};
   private double[] cumulativeCosts = {0};
   private double maxHint = Integer.MAX_VALUE;
@@ -96,7 +100,7 @@
    */
   void addHint(int hint, boolean clientRetry, long requestsBefore) {
     window[(int) (hintsSeen++ % WINDOW)] = hint;
-    hintsBeganLate |= hintsSeen == 1 && requestsBefore > 0;
+    requestsCameBeforeHints |= hintsSeen == 1 && requestsBefore > 0;
     if (!clientRetry || recentLogMean == 0) {
       double log = Math.log(Math.min(hint, maxHint));
       recentLogMean = recentLogMean == 0 ? log : recentLogMean + (log - recentLogMean) / RECENT;
@@ -116,15 +120,15 @@
     if (unitChanged) {
       dropOldHints();
     }
-    double before = meanCost;
+    double previousMeanCost = meanCost;
     int n = (int) Math.min(hintsSeen, WINDOW);
     sortedHints = Arrays.copyOf(window, n);
     Arrays.sort(sortedHints);
-    maxHint = OUTLIER_MULTIPLE * sortedHints[n / 2];
+    maxHint = MAX_MEDIAN_MULTIPLE * sortedHints[n / 2];
     fitConstants(n);
     sumCosts(n);
-    if (unitChanged || (hintsBeganLate && n <= RECENT)) {
-      rescale(meanCost / before);
+    if (unitChanged || (requestsCameBeforeHints && n <= RECENT)) {
+      rescale(meanCost / previousMeanCost);
     }
   }
 
@@ -145,23 +149,23 @@
 
   private void fitConstants(int n) {
     double sum = 0;
-    double powers = 0;
-    double logs = 0;
-    double squares = 0;
+    double sumOfPowers = 0;
+    double sumOfLogs = 0;
+    double sumOfSquaredLogs = 0;
     for (double value : sortedHints) {
       double hint = Math.min(value, maxHint);
       sum += hint;
-      powers += Math.pow(hint, exponent);
+      sumOfPowers += Math.pow(hint, exponent);
       double log = Math.log(hint);
-      logs += log;
-      squares += log * log;
+      sumOfLogs += log;
+      sumOfSquaredLogs += log * log;
     }
-    windowLogMean = logs / n;
-    double deviation = Math.sqrt(Math.max(0, squares / n - windowLogMean * windowLogMean));
+    windowLogMean = sumOfLogs / n;
+    double deviation = Math.sqrt(Math.max(0, sumOfSquaredLogs / n - windowLogMean * windowLogMean));
     unitChangeThreshold =
         Math.max(MIN_UNIT_CHANGE, UNIT_CHANGE_ERRORS * deviation / Math.sqrt(2 * RECENT - 1));
     baseCost = BASE_SHARE * sum / n;
-    scale = (1 - BASE_SHARE) * sum / powers;
+    scale = (1 - BASE_SHARE) * sum / sumOfPowers;
   }
 
   private void sumCosts(int n) {
@@ -178,7 +182,12 @@
     listener.costsRescaled(factor);
   }
 
-  /** Learns from the latency, in ticks, of an attempt that found its backend idle. */
+  /**
+   * Fits the exponent to the latency of an attempt.
+   *
+   * @param hint the request's hint, above 0
+   * @param latency latency in ticks; this proxy must have had nothing else in flight at the backend
+   */
   void observeLatency(int hint, long latency) {
     double x = Math.log(hint);
     double y = Math.log(Math.max(1, latency));
@@ -215,7 +224,7 @@
     return -Arrays.binarySearch(sortedHints, value) - 1;
   }
 
-  /** The summed cost of the window's smallest hints, of this count. */
+  /** The summed cost of the given number of smallest hints in the window. */
   public double costOfSmallest(int count) {
     return cumulativeCosts[count];
   }
--- a/decisions/src/main/java/wheattrack/state/FailureRates.java
+++ b/decisions/src/main/java/wheattrack/state/FailureRates.java
@@ -7,22 +7,25 @@
   /** The lowest health, also of an ejected backend, which needs a small share to recover. */
   public static final double MIN_HEALTH = 0.02;
 
+  /** Health is the share of attempts that do not fail beyond the median, to this power. */
+  private static final double HEALTH_EXPONENT = 6;
+
   private double medianRate;
 
-  /** Sets the median failure rate from these backends. */
-  public void compareAmong(BackendState[] backends) {
+  /** Sets the median failure rate to that of these backends. */
+  public void updateMedian(BackendState[] backends) {
     double[] rates = Arrays.stream(backends).mapToDouble(BackendState::failureRate).toArray();
     Arrays.sort(rates);
     medianRate = rates.length == 0 ? 0 : rates[rates.length / 2];
   }
 
-  /** From 1 for a failure rate up to the median, down to {@link #MIN_HEALTH}. */
+  /** The health: 1 for a failure rate up to the median, at least {@link #MIN_HEALTH}. */
   public double healthOf(BackendState backend) {
     if (backend.isEjected()) {
       return MIN_HEALTH;
     }
     double excess = Math.max(0, backend.failureRate() - medianRate);
-    return Math.max(MIN_HEALTH, Math.pow(1 - excess, 6));
+    return Math.max(MIN_HEALTH, Math.pow(1 - excess, HEALTH_EXPONENT));
   }
 
   /** Whether a backend has the lowest health. */
--- a/decisions/src/main/java/wheattrack/state/IdleConnections.java
+++ b/decisions/src/main/java/wheattrack/state/IdleConnections.java
@@ -1,14 +1,16 @@
 package wheattrack.state;
 
-/** Closes connections to backends that have been idle for longer than they are worth keeping. */
+/**
+ * Closes connections to backends that have been idle for longer than keeping them open is worth.
+ */
 public final class IdleConnections {
   private IdleConnections() {}
 
   /** Closes such connections at all backends; must be called periodically. */
   public static void close(PolicyState state) {
-    long worthTime = state.traffic().idleConnectionTime();
+    long maxIdleTime = state.traffic().idleConnectionTime();
     for (BackendState backend : state.backends().all()) {
-      if (backend.areConnectionsIdleFor(worthTime, state.now())) {
+      if (backend.areConnectionsIdleFor(maxIdleTime, state.now())) {
         backend.markConnectionsClosed();
         state.runtime().closeIdleConnections(backend.index());
       }
--- a/decisions/src/main/java/wheattrack/state/IdleRejections.java
+++ b/decisions/src/main/java/wheattrack/state/IdleRejections.java
@@ -7,7 +7,11 @@
  * any backend, and reports a second with many of them. Not thread-safe.
  */
 public final class IdleRejections {
-  private static final int MIN_REPORTED = 4;
+  /** Rejections within a second that are never reported. */
+  private static final int MAX_UNREPORTED = 4;
+
+  /** Only rejections of more than the arrivals divided by this are reported. */
+  private static final int ARRIVALS_DIVISOR = 2;
 
   private final PolicyState state;
   private int count;
@@ -26,12 +30,13 @@
   }
 
   /**
-   * Ends the present second: reports its rejections if they exceed half of the arrivals.
+   * Ends the present second: reports its rejections if they are more than half of the arrivals and
+   * more than four.
    *
    * @param arrivals mean number of requests that arrive in a second
    */
-  void foldSecond(double arrivals) {
-    if (count > Math.max(MIN_REPORTED, arrivals / 2)) {
+  void endSecond(double arrivals) {
+    if (count > Math.max(MAX_UNREPORTED, arrivals / ARRIVALS_DIVISOR)) {
       String detail = "in a second, while nothing was out; " + lastCause.logText();
       PolicyEvent.Kind kind = PolicyEvent.Kind.REJECTED_WHILE_IDLE;
       state.runtime().report(new PolicyEvent(kind, count, detail));
--- a/decisions/src/main/java/wheattrack/state/LoadProbeRound.java
+++ b/decisions/src/main/java/wheattrack/state/LoadProbeRound.java
@@ -20,7 +20,7 @@
    * Probes backends.
    *
    * @param timeout longest time to wait for their answers, in ticks
-   * @param whenDone run once; immediately if there are no backends
+   * @param whenDone run once; within this call if there are no backends
    */
   public static void start(
       PolicyRuntime runtime, List<BackendState> backends, long timeout, Runnable whenDone) {
@@ -35,6 +35,7 @@
     runtime.schedule(timeout, () -> round.end(round.outstanding));
   }
 
+  /** Ends this many of the outstanding probes. */
   private void end(int probes) {
     outstanding -= probes;
     if (probes > 0 && outstanding == 0) {
--- a/decisions/src/main/java/wheattrack/state/OpenRequest.java
+++ b/decisions/src/main/java/wheattrack/state/OpenRequest.java
@@ -8,8 +8,11 @@
 import wheattrack.api.RequestClass;
 import wheattrack.statistics.LatenessCounters;
 
-/** A request that has no final answer yet: its cost, its time and its attempts. Not thread-safe. */
+/** A request that has no final answer yet: its cost, its age and its attempts. Not thread-safe. */
 public final class OpenRequest {
+  /** Limit of the factor by which a timely answer raises the relative expected value. */
+  private static final double MAX_TIMELINESS = 2;
+
   private final PolicyState state;
   private final PendingRequest request;
   private final double costAtArrival;
@@ -44,29 +47,30 @@
     return costAtArrival * state.costs().unit() / unitAtArrival;
   }
 
-  /** The worth of its answer: the priority weight of its class times its cost. */
-  public double worth() {
+  /** The value of its answer: the priority weight of its class times its cost. */
+  public double value() {
     return requestClass().priorityWeight() * cost();
   }
 
-  /** Time left until its objective or its deadline, whichever is first. */
+  /** Time left until its objective or its deadline, whichever is first, in ticks. */
   public long timeLeft(long now) {
     long objectiveAt = request.arrivedAt() + requestClass().latencyObjective();
     return Math.min(request.deadline(), objectiveAt) - now;
   }
 
   /**
-   * How much sending the request is expected to earn: its weight relative to the mean, reduced by
-   * the likelihood that it ends late, as estimated from the time and cost of recent attempts.
+   * The expected value of sending the request, relative to the mean: its priority weight, times a
+   * factor that falls with the risk that it ends late. That risk is estimated from the cost and the
+   * duration of recent attempts.
    */
-  public double hope() {
+  public double relativeExpectedValue() {
     LatenessCounters recent = state.lateness();
     double timeLeft = timeLeft(state.now());
-    double inTime = timeLeft * recent.costDone() / (recent.attemptTime() * cost() + 1);
-    return Math.min(2, inTime * inTime)
+    double timeMargin = timeLeft * recent.costDone() / (recent.attemptTime() * cost() + 1);
+    return Math.min(MAX_TIMELINESS, timeMargin * timeMargin)
         * requestClass().priorityWeight()
         * state.costs().meanCost()
-        / state.meanWorth();
+        / state.meanValue();
   }
 
   /** Whether any of its attempts may have run or may still run. */
@@ -79,18 +83,18 @@
     return state.now() - request.arrivedAt();
   }
 
-  /** Whether an answer after its objective is worth nothing. */
-  public boolean isWorthlessWhenLate() {
+  /** Whether an answer after its objective has no value. */
+  public boolean hasNoValueWhenLate() {
     return requestClass().lateWeight() == 0;
   }
 
-  /** Whether even an idle backend is expected to finish it only after its deadline. */
+  /** Whether it is expected to miss its deadline even at a backend that has nothing else to do. */
   public boolean missesDeadlineAt(BackendState backend) {
-    return cost() / state.throughput().paceOf(backend) > request.deadline() - state.now();
+    return cost() / state.throughput().costPerTick(backend) > request.deadline() - state.now();
   }
 
   /**
-   * Whether an attempt may be sent to a backend with no second effect, for all earlier attempts.
+   * Whether an attempt that is sent to a backend now has no second effect beside any earlier one.
    */
   public boolean mayRepeatAt(BackendState backend) {
     long now = state.now();
@@ -117,12 +121,14 @@
     return attemptsInFlight;
   }
 
-  /** Whether no further attempt is possible: an answer streams, or the body can't be sent again. */
+  /**
+   * Whether no further attempt is possible, as an answer streams or the body can't be sent again.
+   */
   public boolean isStreaming() {
     return streaming;
   }
 
-  /** Records that an answer streams, or that the body can't be sent again. */
+  /** Records that no further attempt is possible, see {@link #isStreaming}. */
   public void markStreaming() {
     streaming = true;
   }
@@ -152,7 +158,7 @@
     Attempt attempt = new Attempt(attempts.size(), backend, now, costAhead);
     attempts.add(attempt);
     attemptsInFlight++;
-    state.throughput().settle(backend, now);
+    state.throughput().updateBusyTime(backend, now);
     backend.attemptStarted(cost());
     state.inFlight().attemptStarted(cost(), now);
     return attempt;
@@ -165,7 +171,7 @@
     BackendState backend = attempt.backend();
     attempt.end(outcome);
     attemptsInFlight--;
-    state.throughput().settle(backend, now);
+    state.throughput().updateBusyTime(backend, now);
     backend.attemptEnded(cost, now);
     state.inFlight().attemptEnded(cost);
     state.lateness().addAttemptTime(now - attempt.sentAt());
--- a/decisions/src/main/java/wheattrack/state/PolicyState.java
+++ b/decisions/src/main/java/wheattrack/state/PolicyState.java
@@ -17,7 +17,12 @@
  * the policy. It takes no decisions. Not thread-safe.
  */
 public final class PolicyState implements CostModel.Listener {
-  private static final double KEEP_PER_SECOND = ThroughputEstimator.KEEP_PER_SECOND;
+  /** Factor by which the counts of requests decay each second. */
+  private static final double COUNT_DECAY_PER_SECOND =
+      ThroughputEstimator.DECAY_PER_SECOND * ThroughputEstimator.DECAY_PER_SECOND;
+
+  /** The tightest objective divided by this is how long load reports stay fresh. */
+  private static final int REPORT_MAX_AGE_DIVISOR = 2;
 
   private final PolicyRuntime runtime;
   private final SeededRandom random;
@@ -40,12 +45,12 @@
   private boolean hasIdempotentClass;
   private int processCount = 1;
   private double proxiesPerBackend = 1;
-  private double meanWorth = 1;
+  private double meanValue = 1;
 
   /**
    * Creates the state of a proxy that has just started.
    *
-   * @param runtime the clock and the log
+   * @param runtime the services that the policy runs on
    * @param seed seed of all random numbers
    * @param proxyIndex index of this proxy, from 0
    * @param proxyCount number of proxies
@@ -67,7 +72,7 @@
     boolean reported = settings.loadReports().expected();
     costs.setLoadReported(reported);
     throughput.setLoadReported(reported);
-    reportedLoad.configure(reported, tightestObjective / 2);
+    reportedLoad.configure(reported, tightestObjective / REPORT_MAX_AGE_DIVISOR);
     traffic.configure(settings.traffic());
     zoneFactor.configure(settings.zones().own(), settings.zones().crossingPrice());
   }
@@ -79,7 +84,7 @@
     }
     OpenRequest open = new OpenRequest(this, request);
     double gain = Math.max(1.0 / CostModel.WINDOW, 1.0 / traffic.countRequest());
-    meanWorth += (open.worth() - meanWorth) * gain;
+    meanValue += (open.value() - meanValue) * gain;
     lateness.countArrival();
     return open;
   }
@@ -118,32 +123,35 @@
   }
 
   /**
-   * Updates the estimates with the measurements of the last second; {@link #endSecond} must follow
-   * once all readers have used the counts.
+   * Updates the estimates with the measurements of the last second; must be called once a second.
+   * {@link #decayCounts} must follow once all readers have used the counts.
    *
    * @param partition the backends that this proxy sends to
    */
-  public void foldSecond(BackendState[] partition) {
+  public void updateEstimates(BackendState[] partition) {
     List<BackendState> warm =
         Arrays.stream(partition)
             .filter(b -> b.isReady() && !b.isEjected() && warmUp.isWarm(b))
             .toList();
-    throughput.foldSecond(warm, lateness.arrived(), partition.length, now());
-    traffic.foldSecond();
-    idleRejections.foldSecond((1 - KEEP_PER_SECOND * KEEP_PER_SECOND) * lateness.arrived());
+    throughput.updateEstimates(warm, lateness.arrived(), partition.length, now());
+    traffic.updateRate();
+    idleRejections.endSecond((1 - COUNT_DECAY_PER_SECOND) * lateness.arrived());
   }
 
-  /** Decays the counts of late requests, and fits the cost model to the current hints. */
-  public void endSecond() {
-    zoneFactor.foldSecond(lateness.missedShare());
-    lateness.decay(KEEP_PER_SECOND * KEEP_PER_SECOND);
+  /**
+   * Adapts the weight of other zones, decays the counts of late requests, and fits the cost model
+   * to the current hints; must be called once a second.
+   */
+  public void decayCounts() {
+    zoneFactor.adapt(lateness.missedShare());
+    lateness.decay(COUNT_DECAY_PER_SECOND);
     costs.refit();
   }
 
   @Override
-  public void hintUnitChanged(long perCent) {
+  public void hintUnitChanged(long percent) {
     runtime.report(
-        new PolicyEvent(PolicyEvent.Kind.HINT_UNIT_CHANGED, perCent, "per cent of before"));
+        new PolicyEvent(PolicyEvent.Kind.HINT_UNIT_CHANGED, percent, "per cent of before"));
   }
 
   @Override
@@ -152,7 +160,7 @@
     throughput.scaleCosts(factor);
     inFlight.scaleCosts(factor);
     lateness.scaleCosts(factor);
-    meanWorth *= factor;
+    meanValue *= factor;
   }
 
   /** The current time in ticks. */
@@ -175,7 +183,7 @@
     return settings;
   }
 
-  /** The tightest latency objective of all classes, in ticks: the policy's natural unit of time. */
+  /** The tightest latency objective of all classes, in ticks; the policy scales its times by it. */
   public long tightestObjective() {
     return tightestObjective;
   }
@@ -212,9 +220,9 @@
     proxiesPerBackend = processCount * Math.max(1, proxies);
   }
 
-  /** Mean worth of recent requests, see {@link OpenRequest#worth}. */
-  public double meanWorth() {
-    return meanWorth;
+  /** Mean value of recent requests, see {@link OpenRequest#value}. */
+  public double meanValue() {
+    return meanValue;
   }
 
   /** All backends. */
@@ -252,7 +260,7 @@
     return failureRates;
   }
 
-  /** Weight of other zones. */
+  /** Weights of backends by their zones. */
   public ZoneFactor zoneFactor() {
     return zoneFactor;
   }
--- a/decisions/src/main/java/wheattrack/state/RejectionCause.java
+++ b/decisions/src/main/java/wheattrack/state/RejectionCause.java
@@ -2,7 +2,7 @@
 
 /** Why a request was rejected before any attempt of it was sent. */
 public enum RejectionCause {
-  /** The endpoint list names no backend that takes new requests. */
+  /** The endpoint list contains no backend that accepts new requests. */
   NO_BACKEND_READY("no srv is ready"),
   /** Every backend is warming up, ejected or at its capacity. */
   NO_BACKEND_AVAILABLE("all are cold, shut or full"),
--- a/decisions/src/main/java/wheattrack/state/ReportedLoad.java
+++ b/decisions/src/main/java/wheattrack/state/ReportedLoad.java
@@ -2,10 +2,10 @@
 
 /**
  * Load reported by backends, and the cost that a new request would have to wait for. The number of
- * requests that a backend processes concurrently is learnt per kind. Not thread-safe.
+ * requests that a backend processes concurrently is estimated per kind. Not thread-safe.
  */
 public final class ReportedLoad {
-  /** Weight of a new report that shows a backend full, against those before. */
+  /** Weight of a new report with queued requests, against the estimate from earlier reports. */
   private static final double CONCURRENCY_GAIN = 1.0 / 8;
 
   private final double[] kindConcurrency = new double[BackendState.MAX_KINDS];
@@ -34,10 +34,12 @@
     }
     backend.setReport(inFlight, now);
     double working = inFlight - Math.max(0, queued);
-    double known = kindConcurrency[backend.kind()];
-    double learnt =
-        queued >= 1 ? known + (working - known) * CONCURRENCY_GAIN : Math.max(known, working);
-    kindConcurrency[backend.kind()] = Math.max(1, learnt);
+    double previous = kindConcurrency[backend.kind()];
+    double updated =
+        queued >= 1
+            ? previous + (working - previous) * CONCURRENCY_GAIN
+            : Math.max(previous, working);
+    kindConcurrency[backend.kind()] = Math.max(1, updated);
   }
 
   /** Whether a backend's last report is recent enough to be used. */
--- a/decisions/src/main/java/wheattrack/state/ThroughputEstimator.java
+++ b/decisions/src/main/java/wheattrack/state/ThroughputEstimator.java
@@ -6,16 +6,24 @@
 
 /**
  * Estimates the cost that a backend completes per tick while this proxy has attempts in flight
- * there. One proxy of many sends little to a single backend, so the estimate of a backend is shrunk
- * towards that of its kind, and that of a kind towards the mean of all. Sums decay every second,
- * those of a kind more slowly. Not thread-safe.
+ * there. One of many proxies sends little to a single backend, so the estimate for a backend is
+ * shrunk towards that for its kind, and that for a kind towards the mean of all. Sums decay every
+ * second, those of a kind more slowly. Not thread-safe.
  */
 public final class ThroughputEstimator {
-  /** Sums of a backend kept from one second to the next, where it is visited often. */
-  static final double KEEP_PER_SECOND = 0.8;
+  /**
+   * Factor by which a backend's sums decay each second if it gets an attempt at least that often.
+   */
+  static final double DECAY_PER_SECOND = 0.8;
+
+  /** Factor by which a kind's sums decay each second. */
+  private static final double KIND_DECAY_PER_SECOND = 0.95;
 
-  /** Sums of a kind kept from one second to the next. */
-  private static final double KIND_KEEP_PER_SECOND = 0.95;
+  /** Busy time by which a backend's estimate is shrunk towards that of its kind, in ticks. */
+  private static final double BACKEND_PRIOR_TIME = Ticks.SECOND / 2.0;
+
+  /** Busy time by which a kind's estimate is shrunk towards the mean of all, in ticks. */
+  private static final long KIND_PRIOR_TIME = 2 * Ticks.SECOND;
 
   private final BackendTable backends;
   private final double[] kindCost = new double[BackendState.MAX_KINDS];
@@ -23,9 +31,9 @@
   private final double[] kindInFlightTime = new double[BackendState.MAX_KINDS];
   private final double[] kindSpeed = new double[BackendState.MAX_KINDS];
   private boolean loadReported;
-  private double fleetPace = 1;
+  private double fleetCostPerTick = 1;
   private double warmRate;
-  private double keep = KEEP_PER_SECOND;
+  private double decayFactor = DECAY_PER_SECOND;
 
   ThroughputEstimator(BackendTable backends) {
     this.backends = backends;
@@ -40,16 +48,18 @@
     loadReported = reported;
   }
 
-  /** Updates a backend's busy time up to now. */
-  public void settle(BackendState backend, long now) {
-    long elapsed = backend.settle(now);
+  /**
+   * Counts a backend's busy time up to now; must be called before its attempts in flight change.
+   */
+  public void updateBusyTime(BackendState backend, long now) {
+    long elapsed = backend.startBusyTimePeriod(now);
     if (backend.inFlight() > 0) {
-      double work = loadReported ? elapsed * backend.inFlight() : elapsed;
-      backend.addBusyTime(work, elapsed);
-      kindBusyTime[backend.kind()] += work * backend.weight();
+      double countedTime = loadReported ? elapsed * backend.inFlight() : elapsed;
+      backend.addBusyTime(countedTime, elapsed);
+      kindBusyTime[backend.kind()] += countedTime * backend.weight();
       kindInFlightTime[backend.kind()] += elapsed * backend.inFlight();
     }
-    backend.drainAbandonedCost(elapsed * paceOf(backend));
+    backend.drainAbandonedCost(elapsed * costPerTick(backend));
   }
 
   /**
@@ -62,17 +72,17 @@
   }
 
   /** Cost that a backend completes for this proxy per tick with attempts in flight. */
-  public double paceOf(BackendState backend) {
-    double prior = Ticks.SECOND / 2.0;
-    return (backend.costDone() + prior * paceOfKind(backend)) / (backend.busyTime() + prior);
+  public double costPerTick(BackendState backend) {
+    return (backend.costDone() + BACKEND_PRIOR_TIME * costPerTickOfKind(backend))
+        / (backend.busyTime() + BACKEND_PRIOR_TIME);
   }
 
-  /** The same estimate from the backend's kind and weight alone. */
-  public double paceOfKind(BackendState backend) {
+  /** The same, estimated from the backend's kind and weight alone. */
+  public double costPerTickOfKind(BackendState backend) {
     int kind = backend.kind();
     return backend.weight()
-        * (kindCost[kind] + 2 * Ticks.SECOND * fleetPace)
-        / (kindBusyTime[kind] + 2 * Ticks.SECOND);
+        * (kindCost[kind] + KIND_PRIOR_TIME * fleetCostPerTick)
+        / (kindBusyTime[kind] + KIND_PRIOR_TIME);
   }
 
   /** The speed of a backend's kind relative to all backends. */
@@ -95,11 +105,11 @@
    * @param arrivals decayed count of requests accepted
    * @param partitionSize backends that this proxy sends to
    */
-  void foldSecond(List<BackendState> warm, double arrivals, int partitionSize, long now) {
+  void updateEstimates(List<BackendState> warm, double arrivals, int partitionSize, long now) {
     double cost = 0;
     double time = 0;
     for (BackendState backend : backends.all()) {
-      settle(backend, now);
+      updateBusyTime(backend, now);
       cost += backend.costDone();
       time += backend.busyTime() * backend.weight();
     }
@@ -109,15 +119,16 @@
       warmWeight += backend.weight();
       warmCost += backend.costDone();
     }
-    warmRate = warmWeight > 0 ? warmCost * (1 - keep) / Ticks.SECOND / warmWeight : warmRate;
-    fleetPace = time > 0 && cost > 0 ? cost / time : fleetPace;
-    foldKinds();
-    double visits = arrivals * (1 - KEEP_PER_SECOND * KEEP_PER_SECOND) / Math.max(1, partitionSize);
-    keep = Math.pow(KEEP_PER_SECOND, Math.min(1, visits));
-    backends.all().forEach(backend -> backend.decay(keep));
+    warmRate = warmWeight > 0 ? warmCost * (1 - decayFactor) / Ticks.SECOND / warmWeight : warmRate;
+    fleetCostPerTick = time > 0 && cost > 0 ? cost / time : fleetCostPerTick;
+    updateKinds();
+    double visits =
+        arrivals * (1 - DECAY_PER_SECOND * DECAY_PER_SECOND) / Math.max(1, partitionSize);
+    decayFactor = Math.pow(DECAY_PER_SECOND, Math.min(1, visits));
+    backends.all().forEach(backend -> backend.decay(decayFactor));
   }
 
-  private void foldKinds() {
+  private void updateKinds() {
     double fleet =
         Arrays.stream(kindCost).sum() / Math.max(1, Arrays.stream(kindInFlightTime).sum());
     for (int kind = 0; kind < kindSpeed.length; kind++) {
@@ -125,7 +136,7 @@
       double expected = (kindInFlightTime[kind] + Ticks.SECOND) * fleet;
       kindSpeed[kind] = fleet > 0 ? cost / expected : 1;
     }
-    DoubleUnaryOperator decay = value -> value * KIND_KEEP_PER_SECOND;
+    DoubleUnaryOperator decay = value -> value * KIND_DECAY_PER_SECOND;
     replaceAll(kindInFlightTime, decay);
     replaceAll(kindCost, decay);
     replaceAll(kindBusyTime, decay);
@@ -134,7 +145,7 @@
   /** Converts all costs to a new unit. */
   void scaleCosts(double factor) {
     replaceAll(kindCost, cost -> cost * factor);
-    fleetPace *= factor;
+    fleetCostPerTick *= factor;
     warmRate *= factor;
   }
 
--- a/decisions/src/main/java/wheattrack/state/Ticks.java
+++ b/decisions/src/main/java/wheattrack/state/Ticks.java
@@ -5,5 +5,8 @@
   /** Ticks in a second. */
   public static final long SECOND = 10_000;
 
+  /** Ticks in a millisecond. */
+  public static final long MILLISECOND = 10;
+
   private Ticks() {}
 }
--- a/decisions/src/main/java/wheattrack/state/TrafficShare.java
+++ b/decisions/src/main/java/wheattrack/state/TrafficShare.java
@@ -3,11 +3,11 @@
 import wheattrack.api.PolicySettings;
 
 /**
- * This proxy's share of the total traffic, and how long idle connections are worth keeping. Not
+ * This proxy's share of the total traffic, and for how long it pays to keep idle connections. Not
  * thread-safe.
  */
 public final class TrafficShare {
-  /** Seconds over which the own traffic is averaged. */
+  /** Seconds over which this proxy's traffic is averaged. */
   private static final int AVERAGED_SECONDS = 20;
 
   /** Number of backends to which the price of an open connection refers. */
@@ -18,7 +18,7 @@
   private double ownRate;
   private double idleTimePerRate;
   private long requests;
-  private long requestsAtLastFold;
+  private long requestsAtLastUpdate;
   private long seconds = 1;
   private long idleConnectionTime;
 
@@ -45,10 +45,10 @@
     return requests;
   }
 
-  /** Updates this proxy's rate with the last second. */
-  void foldSecond() {
-    ownRate += (requests - requestsAtLastFold - ownRate) / Math.min(AVERAGED_SECONDS, ++seconds);
-    requestsAtLastFold = requests;
+  /** Updates this proxy's rate with the last second; must be called once a second. */
+  void updateRate() {
+    ownRate += (requests - requestsAtLastUpdate - ownRate) / Math.min(AVERAGED_SECONDS, ++seconds);
+    requestsAtLastUpdate = requests;
   }
 
   /** This proxy's share of the total traffic, at least an equal share. */
@@ -64,7 +64,7 @@
             : Long.MAX_VALUE;
   }
 
-  /** How long an idle connection is worth keeping, in ticks. */
+  /** For how long it pays to keep an idle connection, in ticks. */
   public long idleConnectionTime() {
     return idleConnectionTime;
   }
--- a/decisions/src/main/java/wheattrack/state/WaitEstimator.java
+++ b/decisions/src/main/java/wheattrack/state/WaitEstimator.java
@@ -6,6 +6,12 @@
  * cost hints explain, which shows the traffic of other proxies. Not thread-safe.
  */
 public final class WaitEstimator {
+  /** Attempts in flight for less than this time, in ticks, don't show other proxies' traffic. */
+  private static final long MIN_BUSY_TIME = Ticks.SECOND / 2;
+
+  /** A request's expected time is longer by this number divided by the number of proxies. */
+  private static final double EXPECTED_TIME_PROXIES = 6.0;
+
   private final PolicyState state;
 
   WaitEstimator(PolicyState state) {
@@ -15,35 +21,38 @@
   /** The time that work of this cost would take if it were sent now, in ticks. */
   public double timeToFinish(BackendState backend, double cost) {
     long now = state.now();
-    state.throughput().settle(backend, now);
+    state.throughput().updateBusyTime(backend, now);
     double ahead =
         state.reportedLoad().isFresh(backend, now)
             ? state.reportedLoad().costAhead(backend, state.costs().meanCost())
             : backend.inFlightCost() + backend.abandonedCost();
-    return (ahead + cost) / state.throughput().paceOf(backend);
+    return (ahead + cost) / state.throughput().costPerTick(backend);
   }
 
   /** The wait of a request if it were sent now, in ticks. */
   public double waitAt(BackendState backend) {
     double meanCost = state.costs().meanCost();
     if (state.reportedLoad().isFresh(backend, state.now())) {
-      return state.reportedLoad().costAhead(backend, meanCost) / state.throughput().paceOf(backend);
+      return state.reportedLoad().costAhead(backend, meanCost)
+          / state.throughput().costPerTick(backend);
     }
-    // incident: a single mean request of this proxy made idle backends count as busy
-    double byOwnLoad = Math.max(0, timeToFinish(backend, (int) (-meanCost / state.proxyCount())));
-    if (!state.costs().hasHints() || backend.busyTime() < Ticks.SECOND / 2) {
+    // A part of the mean cost is subtracted: a single mean request of this proxy in flight must not
+    // make a backend count as busy.
+    double waitByOwnLoad =
+        Math.max(0, timeToFinish(backend, (int) (-meanCost / state.proxyCount())));
+    if (!state.costs().hasHints() || backend.busyTime() < MIN_BUSY_TIME) {
       boolean reported = state.reportedLoad().isExpected();
-      return reported ? byOwnLoad : byOwnLoad * state.proxiesPerBackend();
+      return reported ? waitByOwnLoad : waitByOwnLoad * state.proxiesPerBackend();
     }
-    double explained = (1 + 6.0 / state.proxyCount()) * meanCost;
-    return Math.max(byOwnLoad, timeToFinish(backend, (int) meanCost) - explained);
+    double expectedTime = (1 + EXPECTED_TIME_PROXIES / state.proxyCount()) * meanCost;
+    return Math.max(waitByOwnLoad, timeToFinish(backend, (int) meanCost) - expectedTime);
   }
 
   /**
    * Updates the mean wait at a backend over about a second; must be called once for each tenth of
    * the tightest objective.
    */
-  public void averageWait(BackendState backend) {
-    backend.averageWait(waitAt(backend), state.tightestObjective());
+  public void updateMeanWait(BackendState backend) {
+    backend.updateMeanWait(waitAt(backend), state.tightestObjective());
   }
 }
--- a/decisions/src/main/java/wheattrack/state/WarmUpModel.java
+++ b/decisions/src/main/java/wheattrack/state/WarmUpModel.java
@@ -4,6 +4,12 @@
  * Capacity of a backend that warms up, by its age and its own throughput so far. Not thread-safe.
  */
 public final class WarmUpModel {
+  /** The rate of warm backends divided by this is what a warming backend is relied on to have. */
+  private static final int WARM_RATE_DIVISOR = 3;
+
+  /** Time added to a backend's busy time, so that a short measurement counts little; in ticks. */
+  private static final double PRIOR_BUSY_TIME = Ticks.SECOND / 2.0;
+
   private final PolicyState state;
 
   WarmUpModel(PolicyState state) {
@@ -16,7 +22,7 @@
   }
 
   /** The fraction of its capacity that a backend has at its age; 1 if it is warm. */
-  public double warmth(BackendState backend) {
+  public double capacityFraction(BackendState backend) {
     if (isWarm(backend)) {
       return 1;
     }
@@ -26,18 +32,20 @@
   }
 
   /**
-   * This proxy's part of the cost that a backend can complete per tick: estimated from its warmth
-   * and the throughput of warm backends or of its kind, or from its own measured throughput.
+   * This proxy's part of the cost that a backend can complete per tick: estimated from its age and
+   * the throughput of warm backends or of its kind, or from its own measured throughput.
    *
-   * @param safePart the fraction to rely on, as other proxies send to the backend too
+   * @param reliableFraction the fraction of a backend's throughput that this proxy may rely on, as
+   *     other proxies send to the backend too
    */
-  public double rate(BackendState backend, double safePart) {
+  public double rate(BackendState backend, double reliableFraction) {
     double proxies = state.proxiesPerBackend();
-    double byWarmOnes = state.throughput().warmRate() * backend.weight() / 3;
-    double byKind = safePart * state.throughput().paceOfKind(backend) / proxies;
-    double able = Math.max(byWarmOnes, byKind);
-    double shown =
-        safePart * backend.costDone() / (backend.busyTime() + Ticks.SECOND / 2.0) / proxies;
-    return Math.max(warmth(backend) * able, shown);
+    double rateOfWarmBackends =
+        state.throughput().warmRate() * backend.weight() / WARM_RATE_DIVISOR;
+    double rateOfKind = reliableFraction * state.throughput().costPerTickOfKind(backend) / proxies;
+    double expectedRate = Math.max(rateOfWarmBackends, rateOfKind);
+    double measuredRate =
+        reliableFraction * backend.costDone() / (backend.busyTime() + PRIOR_BUSY_TIME) / proxies;
+    return Math.max(capacityFraction(backend) * expectedRate, measuredRate);
   }
 }
--- a/decisions/src/main/java/wheattrack/state/ZoneFactor.java
+++ b/decisions/src/main/java/wheattrack/state/ZoneFactor.java
@@ -7,8 +7,15 @@
  */
 public final class ZoneFactor {
   private static final double MIN_FACTOR = 0.02;
+
+  /** Factor of the weight in a second without enough missed objectives. */
   private static final double SHRINK_PER_SECOND = 0.9;
-  private static final double GROWTH_BY_MISSES = 5;
+
+  /** Growth of the weight in a second, per share of requests that missed their objective. */
+  private static final double GROWTH_PER_MISSED_SHARE = 5;
+
+  /** The weight grows while the missed share is at least the crossing price divided by this. */
+  private static final int CROSSING_PRICE_DIVISOR = 4;
 
   /** Number of requests whose crossing price determines the initial weight. */
   private static final double PRICED_REQUESTS = 100;
@@ -24,10 +31,13 @@
     otherZones = 1 / (1 + PRICED_REQUESTS * price);
   }
 
-  /** Raises the weight of other zones while many requests miss their objective, else lowers it. */
-  void foldSecond(double missedShare) {
-    boolean worthCrossing = missedShare >= crossingPrice / 4;
-    double change = worthCrossing ? 1 + GROWTH_BY_MISSES * missedShare : SHRINK_PER_SECOND;
+  /**
+   * Raises the weight of other zones if many requests miss their objective, else lowers it; must be
+   * called once a second.
+   */
+  void adapt(double missedShare) {
+    boolean crossingPays = missedShare >= crossingPrice / CROSSING_PRICE_DIVISOR;
+    double change = crossingPays ? 1 + GROWTH_PER_MISSED_SHARE * missedShare : SHRINK_PER_SECOND;
     otherZones = Math.min(1, Math.max(MIN_FACTOR, otherZones * change));
   }
 
