--- a/decisions/src/main/java/wheattrack/policy/EquiloadBalancer.java
+++ b/decisions/src/main/java/wheattrack/policy/EquiloadBalancer.java
@@ -127,7 +127,7 @@
       state.waits().updateMeanWait(backend);
       outliers.checkSilence(backend);
     }
-    List.copyOf(openRequests).forEach(RequestLifecycle::check);
+    List.copyOf(openRequests).forEach(RequestLifecycle::checkProgress);
     IdleConnections.close(state);
     long interval = state.tightestObjective() / CHECKS_PER_OBJECTIVE;
     state.runtime().schedule(interval, this::checkPeriodically);
--- a/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
+++ b/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
@@ -21,7 +21,10 @@
   /** The tightest objective divided by this is the silence that is tolerated in any case. */
   private static final double SILENCE_DIVISOR = 2.0;
 
-  /** Tolerated silence for the work in flight, in times to finish it and a mean request. */
+  /**
+   * Tolerated silence for the work in flight: this many times the time to finish it and a mean
+   * request, per attempt in flight and the mean request.
+   */
   private static final double TOLERATED_FINISH_TIMES = 6;
 
   /** Longest time between two probe requests to a backend, in ticks. */
--- a/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
+++ b/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
@@ -168,8 +168,8 @@
    * Gives up a request that is nearly out of time; hedges a request whose only attempt is stuck, or
    * cancels that attempt so that it is retried. Must be called periodically.
    */
-  void check() {
-    if (isOutOfTime()) {
+  void checkProgress() {
+    if (shouldGiveUp()) {
       giveUp();
       return;
     }
@@ -196,7 +196,7 @@
    * given up if its client could still retry it, unless load is shed: the same work would then be
    * done twice.
    */
-  private boolean isOutOfTime() {
+  private boolean shouldGiveUp() {
     if (open.isStreaming()
         || !open.hasNoValueWhenLate()
         || open.timeLeft(state.now()) > state.tightestObjective() / GIVE_UP_MARGIN_DIVISOR) {
@@ -207,13 +207,14 @@
         || state.random().draw() < admission.shedShare();
   }
 
+  /** Whether an attempt is to be hedged, or to be cancelled where hedging is not allowed. */
   private boolean isStuck(Attempt attempt) {
     return attempt.isCancellable()
-        && (attempt.backend().isEjected() || isWorthHedging(attempt))
+        && (attempt.backend().isEjected() || justifiesHedging(attempt))
         && state.now() - attempt.sentAt() >= state.tightestObjective() / STUCK_AFTER_DIVISOR;
   }
 
-  private boolean isWorthHedging(Attempt attempt) {
+  private boolean justifiesHedging(Attempt attempt) {
     long hedgeAfter = open.requestClass().latencyObjective() / HEDGE_AFTER_DIVISOR;
     return state.settings().attempts().mayHedge()
         && admission.shedShare() == 0
--- a/decisions/src/main/java/wheattrack/policy/SlowStart.java
+++ b/decisions/src/main/java/wheattrack/policy/SlowStart.java
@@ -35,7 +35,9 @@
     backend.setSlowStartSpent(state.costs().meanCost() * state.random().draw(), state.now());
   }
 
-  /** Charges an attempt of this cost; light requests are charged as mean ones. */
+  /**
+   * Charges the budget with an attempt of this cost; a light request is charged with the mean cost.
+   */
   void spend(BackendState backend, double cost) {
     backend.spendSlowStart(Math.max(cost, state.costs().meanCost()));
   }
--- a/decisions/src/main/java/wheattrack/state/BackendState.java
+++ b/decisions/src/main/java/wheattrack/state/BackendState.java
@@ -16,7 +16,7 @@
   /** A weight that is not below this, or not above 0, counts as 1. */
   private static final double MAX_WEIGHT = 1e9;
 
-  /** Attempts without failure that are added to the counts, so that few attempts tell little. */
+  /** Successful attempts that the failure rate assumes besides those counted. */
   private static final int PRIOR_ATTEMPTS = 2;
 
   /** The mean wait is updated this many times per tightest objective. */
--- a/decisions/src/main/java/wheattrack/state/FailureRates.java
+++ b/decisions/src/main/java/wheattrack/state/FailureRates.java
@@ -7,7 +7,7 @@
   /** The lowest health, also of an ejected backend, which needs a small share to recover. */
   public static final double MIN_HEALTH = 0.02;
 
-  /** Health is the share of attempts that do not fail beyond the median, to this power. */
+  /** Health is 1 less the failure rate in excess of the median, to this power. */
   private static final double HEALTH_EXPONENT = 6;
 
   private double medianRate;
--- a/decisions/src/main/java/wheattrack/state/IdleRejections.java
+++ b/decisions/src/main/java/wheattrack/state/IdleRejections.java
@@ -7,10 +7,10 @@
  * any backend, and reports a second with many of them. Not thread-safe.
  */
 public final class IdleRejections {
-  /** Rejections within a second that are never reported. */
+  /** A second with no more rejections than this is not reported. */
   private static final int MAX_UNREPORTED = 4;
 
-  /** Only rejections of more than the arrivals divided by this are reported. */
+  /** A second is reported only if its rejections exceed its arrivals divided by this. */
   private static final int ARRIVALS_DIVISOR = 2;
 
   private final PolicyState state;
--- a/decisions/src/main/java/wheattrack/state/OpenRequest.java
+++ b/decisions/src/main/java/wheattrack/state/OpenRequest.java
@@ -10,7 +10,7 @@
 
 /** A request that has no final answer yet: its cost, its age and its attempts. Not thread-safe. */
 public final class OpenRequest {
-  /** Limit of the factor by which a timely answer raises the relative expected value. */
+  /** Highest factor of the relative expected value for a request that has much time left. */
   private static final double MAX_TIMELINESS = 2;
 
   private final PolicyState state;
--- a/decisions/src/main/java/wheattrack/state/WaitEstimator.java
+++ b/decisions/src/main/java/wheattrack/state/WaitEstimator.java
@@ -6,10 +6,10 @@
  * cost hints explain, which shows the traffic of other proxies. Not thread-safe.
  */
 public final class WaitEstimator {
-  /** Attempts in flight for less than this time, in ticks, don't show other proxies' traffic. */
+  /** Below this busy time, in ticks, latencies don't tell how much other proxies send. */
   private static final long MIN_BUSY_TIME = Ticks.SECOND / 2;
 
-  /** A request's expected time is longer by this number divided by the number of proxies. */
+  /** The wait is what exceeds the mean cost times 1 + this number / the number of proxies. */
   private static final double EXPECTED_TIME_PROXIES = 6.0;
 
   private final PolicyState state;
--- a/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
@@ -12,11 +12,11 @@
 /** Which requests are rejected, wait or are admitted. */
 class AdmissionTest {
   /**
-   * A request too heavy for its deadline on an idle backend is rejected at once; after a latency
-   * objective of such rejections one is sent.
+   * A request too heavy for its deadline on an idle backend is rejected immediately; once such
+   * rejections have lasted for a latency objective, one is sent.
    */
   @Test
-  void requestTooHeavyForItsDeadlineIsRejectedAtOnce() {
+  void requestTooHeavyForItsDeadlineIsRejectedImmediately() {
     RecordingRuntime runtime = RecordingRuntime.withLoadReports(false);
     runtime.serveOneByOne(2, COSTS);
     int attemptsBefore = runtime.callbacks.size();
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Incidents repas big-1 and i6d7f1e, full backends got attempt after attempt: their capacity is
-   * estimated from their rejections.
+   * Guards against sending further attempts to backends that are full, seen on the test days repas
+   * big-1 and i6d7f1e: the capacity of a backend is estimated from its rejections.
    */
   @Test
   void capacityIsEstimatedFromRejections() throws IOException {
@@ -55,8 +55,8 @@
   }
 
   /**
-   * Service days: requests waited at idle backends, as one in flight over a slow network was
-   * counted as a standing queue.
+   * Guards against counting one request in flight over a slow network as a standing queue, so that
+   * further requests wait although the backend is idle; seen on the service test days.
    */
   @Test
   void requestInFlightToADistantBackendDelaysNoOther() throws IOException {
@@ -74,7 +74,7 @@
     runtime.matches("one-in-work");
   }
 
-  /** Many rejections while nothing is in flight: one line of the log a second says so, and why. */
+  /** Many rejections while nothing is in flight are logged once a second, with their cause. */
   @Test
   void rejectionsWhileIdleAreLoggedOnceASecond() throws IOException {
     RecordingRuntime runtime = RecordingRuntime.idempotent(2, false);
@@ -89,8 +89,8 @@
   }
 
   /**
-   * No or very many proxies, extreme cost hints, one backend or none: an attempt or a quick
-   * rejection.
+   * With no or very many proxies, extreme cost hints, and one backend or none, each request still
+   * gets an attempt or an immediate rejection.
    */
   @Test
   void extremeSettingsStillGiveAnAnswer() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
@@ -15,13 +15,13 @@
 import wheattrack.api.PolicySettings;
 
 /**
- * How a backend is chosen: partition, load reports, and the part of the backends that one of many
+ * How a backend is chosen: partition, load reports, and the subset of the backends that one of many
  * proxies uses.
  */
 class BackendSelectionTest {
   /**
-   * Equal shares of summed cost in the order of ids; a cost at the border of two intervals is split
-   * between them, and busy backends are skipped.
+   * Each backend gets an equal share of the summed cost, in the order of ids; requests of a cost at
+   * the boundary of two intervals are split between them, and busy backends are skipped.
    */
   @Test
   void equalSharesOfCostInIdOrder() throws IOException {
@@ -65,7 +65,7 @@
 
   /** Three of four backends report requests in flight: the fourth gets all requests. */
   @Test
-  void loadReportsSteerAllRequestsToTheIdleBackend() {
+  void allRequestsGoToTheBackendThatReportsNoLoad() {
     RecordingRuntime runtime = RecordingRuntime.withLoadReports(false);
     for (int i = 0; i < 20; i++) {
       for (int backend = 0; backend < 4; backend++) {
@@ -79,11 +79,11 @@
   }
 
   /**
-   * Incident i306e13, 726 proxies took every backend's connections: of hundreds of proxies each
-   * uses its part of the backends.
+   * Guards against hundreds of proxies exhausting the connections of every backend, as 726 proxies
+   * did on the test day i306e13: each of many proxies uses a subset of the backends.
    */
   @Test
-  void eachOfManyProxiesUsesItsPartOfTheBackends() throws IOException {
+  void eachOfManyProxiesUsesASubsetOfTheBackends() throws IOException {
     RecordingRuntime recorder = new RecordingRuntime();
     for (int proxyCount : new int[] {3, 50, 300}) {
       int[] proxiesByBackend = new int[40];
@@ -102,11 +102,11 @@
   }
 
   /**
-   * Incident i8788ed, an outage takes most of a proxy's part of the backends: the part widens
-   * within a second.
+   * Guards against an outage of most backends in a proxy's subset, seen on the test day i8788ed:
+   * the subset grows within a second.
    */
   @Test
-  void partWidensInAnOutage() throws IOException {
+  void subsetGrowsInAnOutage() throws IOException {
     RecordingRuntime runtime = RecordingRuntime.idempotent(30, 0, 12, false);
     runtime.quiet = true;
     runtime.arrive("r", 0);
@@ -128,7 +128,7 @@
     runtime.matches("part-widens");
   }
 
-  /** A connection that is open for a second costs as much as a handshake: it is closed then. */
+  /** With prices at which a second of an open connection costs a handshake, it is closed then. */
   @Test
   void idleConnectionsAreClosedWhenTheyCostMoreThanAHandshake() {
     RecordingRuntime runtime = RecordingRuntime.idempotent(4, false);
--- a/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
+++ b/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
@@ -10,8 +10,8 @@
 /** Requests with and without cost hints, and changes of the hints' unit. */
 class CostHintsTest {
   /**
-   * Without hints a random ready backend gets each request, long latencies alone reject nothing,
-   * and a new backend is used.
+   * Without hints each request goes to a random ready backend, long latencies alone cause no
+   * rejections, and a new backend is used.
    */
   @Test
   void withoutHintsBackendsAreChosenAtRandom() throws IOException {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Incident, idle backends were refused for 4 s after a release of the clients: hints begin, end,
-   * and begin again in thousands.
+   * Guards against rejecting requests while backends are idle, which lasted for 4 s after a release
+   * of the clients: hints begin, end, and begin again a thousand times as large.
    */
   @Test
   void hintsBeginEndAndChangeTheirUnit() throws IOException {
@@ -71,11 +71,12 @@
   }
 
   /**
-   * Growing overload: a heavy request that its clients retry repeatedly does not change the unit of
-   * hints; new requests with such hints do.
+   * Guards against growing overload through a wrong change of unit: a heavy request that its
+   * clients retry repeatedly does not count as a change of the hints' unit; new requests with such
+   * hints do.
    */
   @Test
-  void retriesOfAHeavyRequestAreNoNewUnit() throws IOException {
+  void retriesOfAHeavyRequestAreNoChangeOfUnit() throws IOException {
     RecordingRuntime runtime = RecordingRuntime.idempotent(3, false);
     runtime.serveOneByOne(5, COSTS);
     for (int i = 0; i < 40; i++) {
--- a/decisions/src/test/java/wheattrack/policy/EndpointListTest.java
+++ b/decisions/src/test/java/wheattrack/policy/EndpointListTest.java
@@ -12,7 +12,8 @@
 /** How changes of the endpoint list are applied, and how it is polled. */
 class EndpointListTest {
   /**
-   * Backends that drain, were removed or are only on a stale list after a restart get no attempt.
+   * Backends that drain or were removed get no attempt. After a restart with a cached list, failed
+   * polls are repeated until a list is received.
    */
   @Test
   void drainingAndRemovedBackendsGetNoAttempt() throws IOException {
@@ -42,8 +43,8 @@
   }
 
   /**
-   * Hundreds of proxies restart together and discovery rejects each poll: polls are spread over
-   * time and become rarer.
+   * Guards against hundreds of proxies that restart together overloading discovery: while each poll
+   * is rejected, polls are spread over time and become rarer.
    */
   @Test
   void pollsOfManyProxiesSpreadAndBecomeRarer() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/LoadBalancerPropertiesTest.java
+++ b/decisions/src/test/java/wheattrack/policy/LoadBalancerPropertiesTest.java
@@ -17,7 +17,10 @@
 import wheattrack.policy.SimulatedHistory.Change;
 import wheattrack.policy.SimulatedHistory.Step;
 
-/** Properties that hold after any history; a failing one is shrunk to the shortest and printed. */
+/**
+ * Properties that hold after any history of changes; a history that breaks one is shrunk to the
+ * shortest such history and printed.
+ */
 class LoadBalancerPropertiesTest {
   @Provide
   Arbitrary<Step> steps() {
@@ -29,8 +32,8 @@
   }
 
   /**
-   * With ready and idle backends, requests with time left are rejected for no longer than two
-   * latency objectives.
+   * While a warm backend is ready and nothing is in flight, requests with time left are rejected
+   * for no longer than two latency objectives.
    */
   @Property(tries = 10_000, edgeCases = EdgeCasesMode.NONE, seed = "17")
   void requestsAreNotRejectedForLongWhileNothingIsInFlight(
@@ -49,7 +52,7 @@
     assertNull(simulation.violation());
   }
 
-  /** Once all faults are over, each backend receives something within twenty seconds. */
+  /** Once all faults are over, each backend receives an attempt within twenty seconds. */
   @Property(tries = 1_000, edgeCases = EdgeCasesMode.NONE, seed = "18")
   void noBackendStarves(
       @ForAll @Size(max = 6) List<@From("steps") Step> history,
--- a/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
@@ -14,8 +14,8 @@
 /** Which backends are avoided or ejected, and when they are reinstated. */
 class OutlierDetectionTest {
   /**
-   * Backends that answer errors at once look idle, and once got the requests that busy ones had no
-   * capacity for.
+   * Guards against sending requests that busy backends have no capacity for to a backend that
+   * answers errors immediately, and therefore looks idle.
    */
   @Test
   void backendWithFastErrorsIsAvoided() throws IOException {
@@ -58,11 +58,12 @@
   }
 
   /**
-   * Incidents amman quiet, backends wrongly ejected, and repas big-1, hung backends found late:
-   * silence ejects, an answer reinstates.
+   * Guards against ejecting working backends, seen on the test day amman quiet, and against
+   * detecting hung backends late, seen on the test day repas big-1: a backend is ejected when it
+   * does not answer for too long, and reinstated at its next answer.
    */
   @Test
-  void silenceEjectsAndAnAnswerReinstates() throws IOException {
+  void missingAnswersEjectAndAnAnswerReinstates() throws IOException {
     for (boolean mayHedge : new boolean[] {true, false}) {
       RecordingRuntime runtime = RecordingRuntime.idempotent(3, mayHedge);
       runtime.serveOneByOne(2, COSTS);
@@ -85,8 +86,8 @@
   }
 
   /**
-   * Incident ibf8546, outliers forgotten between two attempts: where attempts are rare, a slow
-   * backend stays known as such.
+   * Guards against forgetting between two attempts that a backend is slow, seen on the test day
+   * ibf8546: where attempts are rare, the measurements of a backend decay more slowly.
    */
   @Test
   void slowBackendStaysKnownBetweenRareAttempts() throws IOException {
@@ -107,7 +108,8 @@
   }
 
   /**
-   * Service days: backends that gave up on a request after a while were ejected as if unreachable.
+   * Guards against ejecting a backend as unreachable when it rejects a request after a wait, seen
+   * on the service test days.
    */
   @Test
   void rejectionAfterAWaitDoesNotEject() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/RecordingRuntime.java
+++ b/decisions/src/test/java/wheattrack/policy/RecordingRuntime.java
@@ -27,7 +27,7 @@
   /** A second, in tenths of a millisecond. */
   static final long SECOND = VirtualClock.SECOND;
 
-  /** Cost hints of usual requests. */
+  /** Cost hints of ordinary requests. */
   static final int[] COSTS = {10, 20, 30, 40, 50, 60, 70, 80};
 
   /** The callbacks of all attempts, in their order. */
@@ -46,7 +46,7 @@
   PolicySettings settings;
   LoadBalancer loadBalancer;
 
-  /** A class of requests with an objective of half a second, and two seconds for its clients. */
+  /** A class of requests with an objective of half a second and a client timeout of two seconds. */
   static RequestClass requestClass(
       Idempotency idempotency, DeduplicationScope scope, double lateWeight) {
     return new RequestClass(
@@ -55,7 +55,7 @@
 
   /**
    * One proxy of three with backends 0 to n-1, whose ids are 10, 20 and so on, in zones 0 and 1 and
-   * cells 0 to 2 by turns.
+   * cells 0 to 2 in rotation.
    */
   static RecordingRuntime create(
       int backendCount,
@@ -122,7 +122,7 @@
     loadBalancer.configure(newSettings, new RequestClass[] {requestClass});
   }
 
-  /** Puts a backend on the list, or changes it there. */
+  /** Adds a backend to the endpoint list, or updates its entry. */
   void updateBackend(int backend, boolean isReady, long startedAt) {
     loadBalancer.updateBackend(
         new EndpointUpdate(
@@ -137,7 +137,7 @@
             listedBackends.add(backend)));
   }
 
-  /** Lists a backend that has started just now. */
+  /** Adds a backend that has started just now to the list. */
   void addNewBackend(int backend) {
     updateBackend(backend, true, now());
     loadBalancer.endpointListUpdated(false);
@@ -151,13 +151,13 @@
     loadBalancer.endpointListUpdated(false);
   }
 
-  /** A request arrives, with a second until its deadline. */
+  /** Lets a request arrive, with a second until its deadline. */
   RequestHandle arrive(String name, int costHint) {
     return loadBalancer.accept(
         new PendingRequest(requestClass, now(), now() + SECOND, costHint, false, name));
   }
 
-  /** A client's own retry, marked as one. */
+  /** Lets a request arrive that is marked as a client's retry. */
   RequestHandle arriveAsRetry(String name, int costHint) {
     return loadBalancer.accept(
         new PendingRequest(requestClass, now(), now() + SECOND, costHint, true, name));
--- a/decisions/src/test/java/wheattrack/policy/RetryTest.java
+++ b/decisions/src/test/java/wheattrack/policy/RetryTest.java
@@ -59,9 +59,10 @@
   }
 
   /**
-   * Incident repas, late work wasted: a request past its objective that no longer counts is
-   * cancelled and rejected at once. But incident amman-later rough-2, the same work done twice:
-   * only if the Retry-After outlasts its client.
+   * Guards against wasting work on late answers, seen on the test day repas: a request past its
+   * objective whose answer has no value any more is cancelled and rejected. It also guards against
+   * doing the same work twice, seen on the test day amman-later rough-2: this is done only if the
+   * Retry-After outlasts the client's timeout.
    */
   @Test
   void requestPastItsObjectiveIsCancelledAndRejected() throws IOException {
@@ -82,8 +83,9 @@
   }
 
   /**
-   * Incident repas-later big-1, requests lost in queues that no proxy sees: a request that is the
-   * only one at its backend past its share of the objective is hedged.
+   * Guards against losing requests in queues that no proxy knows of, seen on the test day
+   * repas-later big-1: a request that is its proxy's only one at the backend is hedged once it has
+   * taken a set fraction of its objective.
    */
   @Test
   void lateRequestIsHedged() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/SimulatedHistory.java
+++ b/decisions/src/test/java/wheattrack/policy/SimulatedHistory.java
@@ -15,9 +15,10 @@
 import wheattrack.api.RequestClass;
 
 /**
- * One proxy simulated through a history of changes: backends whose speed is independent of the cost
- * hints, and clients that send at a given rate. It records the first violation of an invariant: an
- * attempt at a draining backend, or requests that are rejected for long while nothing is in flight.
+ * Simulates one proxy through a history of changes, with backends whose speed is independent of the
+ * cost hints, and clients that send at a given rate. It records the first violation of an
+ * invariant: an attempt at a draining backend, or requests that are rejected for long while nothing
+ * is in flight.
  */
 final class SimulatedHistory implements PolicyRuntime {
   /** A second, in tenths of a millisecond. */
@@ -30,9 +31,9 @@
    * The longest time in which all requests may be rejected while nothing is in flight and a warm
    * backend is ready, in tenths of a millisecond.
    */
-  static final long MAX_STANDSTILL = 2 * LATENCY_OBJECTIVE;
+  static final long MAX_REJECTING_TIME = 2 * LATENCY_OBJECTIVE;
 
-  /** What can change. */
+  /** What can change; the names are printed with a failing history. */
   enum Change {
     HINTS,
     SPEED,
@@ -48,13 +49,13 @@
    * One change.
    *
    * @param change what changes
-   * @param measure how it changes, from 0 to 99
+   * @param variant how it changes, from 0 to 99
    * @param tenths time until the next change, in tenths of a second
    */
-  record Step(Change change, int measure, int tenths) {
+  record Step(Change change, int variant, int tenths) {
     @Override
     public String toString() {
-      return change + "(" + measure + ") for " + tenths / 10.0 + " s";
+      return change + "(" + variant + ") for " + tenths / 10.0 + " s";
     }
   }
 
@@ -148,15 +149,15 @@
   /** Makes one change, and advances the clock by its time. */
   void apply(Step step) {
     switch (step.change) {
-      case HINTS -> hintMode = step.measure % 9;
-      case SPEED -> slowdown = new double[] {1, 0.1, 10, 3}[step.measure % 4];
-      case OUTCOME -> outcome = OUTCOMES[step.measure % OUTCOMES.length];
-      case LOAD -> requestsPerSecond = RATES[step.measure % RATES.length];
-      case DRAIN -> updateBackend(step.measure % backendCount, false, false);
-      case RETURN -> updateBackend(step.measure % backendCount, true, false);
+      case HINTS -> hintMode = step.variant % 9;
+      case SPEED -> slowdown = new double[] {1, 0.1, 10, 3}[step.variant % 4];
+      case OUTCOME -> outcome = OUTCOMES[step.variant % OUTCOMES.length];
+      case LOAD -> requestsPerSecond = RATES[step.variant % RATES.length];
+      case DRAIN -> updateBackend(step.variant % backendCount, false, false);
+      case RETURN -> updateBackend(step.variant % backendCount, true, false);
       case RESTART -> {
-        startedAt[step.measure % backendCount] = now();
-        updateBackend(step.measure % backendCount, true, false);
+        startedAt[step.variant % backendCount] = now();
+        updateBackend(step.variant % backendCount, true, false);
       }
       default -> {
         // quiet: nothing changes
@@ -277,7 +278,7 @@
       rejectedSince = -1;
     } else if (rejectedSince < 0) {
       rejectedSince = now();
-    } else if (now() - rejectedSince > MAX_STANDSTILL) {
+    } else if (now() - rejectedSince > MAX_REJECTING_TIME) {
       violation =
           "all rejected for " + (now() - rejectedSince) / 10 + " ms while nothing was in flight";
     }
@@ -285,17 +286,17 @@
 
   @Override
   public void fail(PendingRequest request) {
-    // only requests that may have run fail; that is no standstill
+    // only requests that may have run fail, which does not violate an invariant
   }
 
   @Override
   public void probeLoad(int backend, ProbeCallback callback) {
-    // load reports are off
+    // never called, as load reports are off
   }
 
   @Override
   public void closeIdleConnections(int backend) {
-    // connections cost nothing here
+    // connections are not simulated
   }
 
   @Override
@@ -310,6 +311,6 @@
 
   @Override
   public void report(PolicyEvent event) {
-    // the policy is judged by what it does
+    // events are not checked
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/SlowStartTest.java
+++ b/decisions/src/test/java/wheattrack/policy/SlowStartTest.java
@@ -13,7 +13,7 @@
 /** How much is sent to new backends, and by proxies that have just started. */
 class SlowStartTest {
   /** Serves requests for a second; returns the backend of each attempt. */
-  private static List<Integer> backendsOfABusySecond(RecordingRuntime runtime) {
+  private static List<Integer> backendsUsedInOneSecond(RecordingRuntime runtime) {
     int attemptsBefore = runtime.attemptBackends.size();
     runtime.serveOneByOne(1, COSTS);
     return runtime.attemptBackends.subList(attemptsBefore, runtime.attemptBackends.size());
@@ -24,17 +24,18 @@
     return Collections.frequency(attemptBackends, backend) + " of " + attemptBackends.size();
   }
 
-  /** Records a backend's share of the attempts in each of these busy seconds. */
-  private static void recordBusySeconds(
+  /** Serves requests for this many seconds; records a backend's share of each second's attempts. */
+  private static void recordShares(
       TraceRecorder recorder, String proxy, RecordingRuntime runtime, int backend, int seconds) {
     for (int second = 0; second < seconds; second++) {
-      String share = shareOf(backend, backendsOfABusySecond(runtime));
+      String share = shareOf(backend, backendsUsedInOneSecond(runtime));
       recorder.say(proxy + " in second " + second + ": " + share);
     }
   }
 
   /**
-   * Incident, new backends overloaded by light requests: three proxies keep one within its budget.
+   * Guards against overloading a new backend with many light requests from several proxies: three
+   * proxies together keep a new backend within its slow-start budget.
    */
   @Test
   void allProxiesKeepANewBackendWithinItsBudget() throws IOException {
@@ -44,19 +45,19 @@
       runtime.removeBackends(0);
       runtime.serveOneByOne(4, COSTS);
       runtime.addNewBackend(0);
-      recordBusySeconds(recorder, "" + proxyIndex, runtime, 0, 9);
+      recordShares(recorder, "" + proxyIndex, runtime, 0, 9);
     }
     recorder.matches("fresh");
   }
 
   /**
-   * Incident join+vast, new backends left idle while the rest was overloaded: of 8 proxies with 48
-   * backends each uses 24, and the 24 that it does not use tell nothing about the throughput of a
-   * new one. The four proxies that use a new backend start to use it one after the other: the sixth
-   * proxy is the second of them.
+   * Guards against leaving a new backend idle while the others are overloaded, seen on the test day
+   * join+vast. Of 8 proxies with 48 backends, each uses 24; the other 24 say nothing about the
+   * throughput of a new one. The four proxies that use the new backend start one after the other:
+   * the sixth proxy is the second of them.
    */
   @Test
-  void newBackendIsUsedByTheProxiesOfItsPart() throws IOException {
+  void newBackendIsUsedByTheProxiesWithItInTheirSubset() throws IOException {
     RecordingRuntime recorder = new RecordingRuntime();
     for (int proxyIndex : new int[] {0, 1, 5}) {
       RecordingRuntime runtime = RecordingRuntime.idempotent(48, proxyIndex, 8, false);
@@ -64,7 +65,7 @@
       int newBackend = 24 * (proxyIndex % 2) + 12;
       runtime.addNewBackend(newBackend);
       for (int second = 0; second < 8; second++) {
-        List<Integer> backends = backendsOfABusySecond(runtime);
+        List<Integer> backends = backendsUsedInOneSecond(runtime);
         long backendCount = backends.stream().distinct().count();
         String share = shareOf(newBackend, backends);
         recorder.say(proxyIndex + " in second " + second + ": " + share + " at " + backendCount);
@@ -74,11 +75,12 @@
   }
 
   /**
-   * Incident herd+vast, new backends kept idle as long as there was little traffic: their budget
-   * follows the throughput that they are capable of.
+   * Guards against keeping a new backend idle after a time of little traffic, seen on the test day
+   * herd+vast: its budget follows the throughput that it is capable of, not the little that other
+   * backends have completed.
    */
   @Test
-  void newBackendIsUsedAfterAQuietTime() throws IOException {
+  void newBackendIsUsedAfterLittleTraffic() throws IOException {
     RecordingRuntime recorder = new RecordingRuntime();
     for (int proxyCount : new int[] {1, 3}) {
       RecordingRuntime runtime = RecordingRuntime.idempotent(2, 0, proxyCount, false);
@@ -91,14 +93,14 @@
         runtime.advance(SECOND / 5);
       }
       runtime.addNewBackend(1);
-      recordBusySeconds(recorder, "of " + proxyCount, runtime, 1, 3);
+      recordShares(recorder, "of " + proxyCount, runtime, 1, 3);
     }
     recorder.matches("fresh-quiet");
   }
 
   /**
-   * Incident join+vast, new backends that were faster than expected at their age got no more than
-   * the expected share: the throughput that is measured counts.
+   * Guards against giving a new backend that is faster than expected at its age no more than the
+   * expected share, seen on the test day join+vast: its measured throughput counts.
    */
   @Test
   void fastNewBackendGetsAShareByItsMeasuredThroughput() throws IOException {
@@ -141,11 +143,12 @@
   }
 
   /**
-   * Incident herd+vast, ten of 14 proxies restart at once and fill every queue: further requests
-   * are sent to a backend that was not used before only after its first answer.
+   * Guards against proxies that restart together filling every queue, as ten of 14 did on the test
+   * day herd+vast: a proxy sends a second request to a backend that it has not used before only
+   * after the first answer.
    */
   @Test
-  void proxiesThatStartAtOnceFillNoQueues() throws IOException {
+  void proxiesThatStartTogetherFillNoQueues() throws IOException {
     RecordingRuntime recorder = new RecordingRuntime();
     for (int proxyCount : new int[] {1, 14}) {
       RecordingRuntime runtime = RecordingRuntime.idempotent(60, 0, proxyCount, false);
--- a/decisions/src/test/java/wheattrack/policy/VirtualClock.java
+++ b/decisions/src/test/java/wheattrack/policy/VirtualClock.java
@@ -24,7 +24,10 @@
     return now;
   }
 
-  /** Runs a task after a delay of at least one tick; tasks of equal times run in their order. */
+  /**
+   * Runs a task after a delay of at least one tick; tasks due at the same time run in the order in
+   * which they were scheduled.
+   */
   void schedule(long delay, Runnable task) {
     timers.add(new Timer(now + Math.max(1, delay), timerCount++, task));
   }
