--- a/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
@@ -50,8 +50,8 @@
       idle.arrive("s" + i, 100);
       idle.endAttempt(AttemptOutcome.DONE);
     }
-    runtime.say("nothing out there and no connection:\n" + idle.trace);
-    runtime.matches("room");
+    runtime.recordLine("nothing out there and no connection:\n" + idle.trace);
+    runtime.assertMatches("room");
   }
 
   /**
@@ -71,7 +71,7 @@
     runtime.arrive("in work", 300);
     runtime.arrive("next", 300);
     runtime.arrive("one more", 300);
-    runtime.matches("one-in-work");
+    runtime.assertMatches("one-in-work");
   }
 
   /** Many rejections while nothing is in flight are logged once a second, with their cause. */
@@ -85,7 +85,7 @@
       runtime.quiet = false;
       runtime.advance(SECOND / 10);
     }
-    runtime.matches("denies-while-idle");
+    runtime.assertMatches("denies-while-idle");
   }
 
   /**
@@ -103,8 +103,8 @@
       }
       runtime.removeBackends(0);
       runtime.arrive("no srv", 100);
-      recorder.say("one of " + proxyCount + " proxies:\n" + runtime.trace);
+      recorder.recordLine("one of " + proxyCount + " proxies:\n" + runtime.trace);
     }
-    recorder.matches("odd-settings");
+    recorder.assertMatches("odd-settings");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
@@ -37,13 +37,13 @@
         runtime.endAttempt(AttemptOutcome.DONE);
       }
       runtime.quiet = false;
-      runtime.say(cost + ": " + Arrays.toString(attemptsByBackend));
+      runtime.recordLine(cost + ": " + Arrays.toString(attemptsByBackend));
     }
-    runtime.say("four alike at once");
+    runtime.recordLine("four alike at once");
     for (int i = 0; i < 4; i++) {
       runtime.arrive("r" + i, 100);
     }
-    runtime.matches("cuts");
+    runtime.assertMatches("cuts");
   }
 
   /**
@@ -95,10 +95,10 @@
         }
         runtime.attemptBackends.stream().distinct().forEach(backend -> proxiesByBackend[backend]++);
       }
-      recorder.say(
+      recorder.recordLine(
           proxyCount + " proxies, those that meet each srv: " + Arrays.toString(proxiesByBackend));
     }
-    recorder.matches("part");
+    recorder.assertMatches("part");
   }
 
   /**
@@ -121,11 +121,11 @@
       runtime.endAttempt(AttemptOutcome.DONE);
     }
     runtime.quiet = false;
-    runtime.say(
+    runtime.recordLine(
         backendsBefore
             + " srvs met, all turn it away; a second later "
             + runtime.attemptBackends.stream().distinct().count());
-    runtime.matches("part-widens");
+    runtime.assertMatches("part-widens");
   }
 
   /** With prices at which a second of an open connection costs a handshake, it is closed then. */
--- a/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
+++ b/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
@@ -29,8 +29,8 @@
     runtime.quiet = false;
     int[] attemptsByBackend = new int[4];
     runtime.attemptBackends.forEach(backend -> attemptsByBackend[backend]++);
-    runtime.say("of 120: " + Arrays.toString(attemptsByBackend));
-    runtime.matches("no-hints");
+    runtime.recordLine("of 120: " + Arrays.toString(attemptsByBackend));
+    runtime.assertMatches("no-hints");
   }
 
   /** Sends requests one by one, 20 ms each, and records the number of attempts. */
@@ -47,7 +47,7 @@
       }
     }
     runtime.quiet = false;
-    runtime.say(
+    runtime.recordLine(
         label + ": " + (runtime.callbacks.size() - attemptsBefore) + " of " + requests + " sent");
   }
 
@@ -65,9 +65,9 @@
       recordAttempts(runtime, "without again", 50, 0);
       recordAttempts(runtime, "hints of 20,000 ms", 100, 200_000);
       recordAttempts(runtime, "hints of 0.2 ms", 100, 2);
-      recorder.say("one of " + proxyCount + " proxies\n" + runtime.trace);
+      recorder.recordLine("one of " + proxyCount + " proxies\n" + runtime.trace);
     }
-    recorder.matches("hints-begin");
+    recorder.assertMatches("hints-begin");
   }
 
   /**
@@ -84,12 +84,12 @@
       runtime.arriveAsRetry("heavy", 72_000);
       runtime.quiet = false;
     }
-    runtime.say("forty retries of a heavy req");
+    runtime.recordLine("forty retries of a heavy req");
     for (int i = 0; i < 10; i++) {
       runtime.quiet = i < 5;
       runtime.arrive("r" + i, 1000 * COSTS[i % COSTS.length]);
       runtime.quiet = false;
     }
-    runtime.matches("retries");
+    runtime.assertMatches("retries");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/EndpointListTest.java
+++ b/decisions/src/test/java/wheattrack/policy/EndpointListTest.java
@@ -25,7 +25,7 @@
     runtime.endAttempt(0, AttemptOutcome.DONE);
     runtime.updateBackend(2, false, Long.MIN_VALUE / 2);
     runtime.arrive("b", 0);
-    runtime.say("restarted with the saved list");
+    runtime.recordLine("restarted with the saved list");
     RecordingRuntime restarted =
         RecordingRuntime.create(
             1,
@@ -38,8 +38,8 @@
     restarted.advance(2 * SECOND);
     restarted.loadBalancer.endpointListUpdated(false);
     restarted.advance(20 * SECOND);
-    runtime.say(restarted.trace.toString());
-    runtime.matches("list");
+    runtime.recordLine(restarted.trace.toString());
+    runtime.assertMatches("list");
   }
 
   /**
@@ -68,7 +68,7 @@
       }
     }
     RecordingRuntime recorder = new RecordingRuntime();
-    recorder.say("calls of 300 proxies by second: " + Arrays.toString(pollsBySecond));
-    recorder.matches("list-many");
+    recorder.recordLine("calls of 300 proxies by second: " + Arrays.toString(pollsBySecond));
+    recorder.assertMatches("list-many");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
@@ -52,9 +52,9 @@
           attempt++;
         }
       }
-      recorder.say(idempotency + ": " + Arrays.toString(attemptsByBackend));
+      recorder.recordLine(idempotency + ": " + Arrays.toString(attemptsByBackend));
     }
-    recorder.matches("ailing");
+    recorder.assertMatches("ailing");
   }
 
   /**
@@ -81,7 +81,7 @@
       runtime.advance(SECOND);
       runtime.arrive("trial", 10);
       runtime.endAttempt(AttemptOutcome.DONE);
-      runtime.matches("hung-" + (mayHedge ? "copies" : "moves"));
+      runtime.assertMatches("hung-" + (mayHedge ? "copies" : "moves"));
     }
   }
 
@@ -101,10 +101,10 @@
     }
     runtime.quiet = false;
     for (int backend = 0; backend < 4; backend++) {
-      runtime.say(
+      runtime.recordLine(
           10 * backend + 10 + ": " + Collections.frequency(runtime.attemptBackends, backend));
     }
-    runtime.matches("slow-rare");
+    runtime.assertMatches("slow-rare");
   }
 
   /**
@@ -121,6 +121,6 @@
       runtime.endAttempt(AttemptOutcome.FULL);
       runtime.endAttempt(AttemptOutcome.DONE);
     }
-    runtime.matches("gave-up");
+    runtime.assertMatches("gave-up");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/RecordingRuntime.java
+++ b/decisions/src/test/java/wheattrack/policy/RecordingRuntime.java
@@ -170,7 +170,7 @@
 
   /** Ends the attempt of this number, counted from 0 over all requests. */
   void endAttempt(int attempt, AttemptOutcome outcome) {
-    say("  " + attempt + " ends " + outcome);
+    recordLine("  " + attempt + " ends " + outcome);
     callbacks
         .get(attempt)
         .ended(outcome, now() - sentAt.get(attempt), outcome == AttemptOutcome.DONE);
@@ -205,7 +205,8 @@
   @Override
   public void sendAttempt(
       PendingRequest request, int backend, long timeout, AttemptCallback callback) {
-    say(request.attachment() + " -> " + (10 * backend + 10) + " for " + timeout / 10 + " ms");
+    recordLine(
+        request.attachment() + " -> " + (10 * backend + 10) + " for " + timeout / 10 + " ms");
     attemptBackends.add(backend);
     callbacks.add(callback);
     sentAt.add(now());
@@ -213,27 +214,27 @@
 
   @Override
   public void cancelAttempt(PendingRequest request, int attempt) {
-    say(request.attachment() + " calls off " + attempt);
+    recordLine(request.attachment() + " calls off " + attempt);
   }
 
   @Override
   public void reject(PendingRequest request, long retryAfter) {
-    say(request.attachment() + " denied, wait " + retryAfter / 10 + " ms");
+    recordLine(request.attachment() + " denied, wait " + retryAfter / 10 + " ms");
   }
 
   @Override
   public void fail(PendingRequest request) {
-    say(request.attachment() + " aborted");
+    recordLine(request.attachment() + " aborted");
   }
 
   @Override
   public void probeLoad(int backend, ProbeCallback callback) {
-    say("probe " + (10 * backend + 10));
+    recordLine("probe " + (10 * backend + 10));
   }
 
   @Override
   public void closeIdleConnections(int backend) {
-    say("hang up " + (10 * backend + 10));
+    recordLine("hang up " + (10 * backend + 10));
   }
 
   @Override
@@ -244,11 +245,11 @@
   @Override
   public void watchEndpoints() {
     watchCount++;
-    say("follow at " + (now() - VirtualClock.START) / 10 + " ms");
+    recordLine("follow at " + (now() - VirtualClock.START) / 10 + " ms");
   }
 
   @Override
   public void report(PolicyEvent event) {
-    say("log: " + event.text());
+    recordLine("log: " + event.text());
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/RetryTest.java
+++ b/decisions/src/test/java/wheattrack/policy/RetryTest.java
@@ -28,10 +28,10 @@
                 false);
         runtime.arrive("pay", 100);
         runtime.endAttempt(outcome);
-        recorder.say(outcome + ":\n" + runtime.trace);
+        recorder.recordLine(outcome + ":\n" + runtime.trace);
       }
     }
-    recorder.matches("non-replayable");
+    recorder.assertMatches("non-replayable");
   }
 
   /**
@@ -52,10 +52,10 @@
         runtime.arrive("mark", 100);
         runtime.advance(wait);
         runtime.endAttempt(AttemptOutcome.RESET);
-        recorder.say(scope + " after " + wait + ":\n" + runtime.trace);
+        recorder.recordLine(scope + " after " + wait + ":\n" + runtime.trace);
       }
     }
-    recorder.matches("uniqued");
+    recorder.assertMatches("uniqued");
   }
 
   /**
@@ -77,9 +77,9 @@
       runtime.arrive("next", 4000);
       runtime.endAttempt(0, AttemptOutcome.CANCELLED);
       runtime.arrive("queued behind the ghost", 100);
-      recorder.say("waits up to " + maxRetryAfter / 10 + " ms:\n" + runtime.trace);
+      recorder.recordLine("waits up to " + maxRetryAfter / 10 + " ms:\n" + runtime.trace);
     }
-    recorder.matches("late");
+    recorder.assertMatches("late");
   }
 
   /**
@@ -96,8 +96,8 @@
       runtime.arrive("alone", 40);
       runtime.advance(2500);
       runtime.endAttempt(AttemptOutcome.DONE);
-      recorder.say("one of " + proxyCount + " proxies, 250 ms later:\n" + runtime.trace);
+      recorder.recordLine("one of " + proxyCount + " proxies, 250 ms later:\n" + runtime.trace);
     }
-    recorder.matches("second-copy");
+    recorder.assertMatches("second-copy");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/SlowStartTest.java
+++ b/decisions/src/test/java/wheattrack/policy/SlowStartTest.java
@@ -29,7 +29,7 @@
       TraceRecorder recorder, String proxy, RecordingRuntime runtime, int backend, int seconds) {
     for (int second = 0; second < seconds; second++) {
       String share = shareOf(backend, backendsUsedInOneSecond(runtime));
-      recorder.say(proxy + " in second " + second + ": " + share);
+      recorder.recordLine(proxy + " in second " + second + ": " + share);
     }
   }
 
@@ -47,7 +47,7 @@
       runtime.addNewBackend(0);
       recordShares(recorder, "" + proxyIndex, runtime, 0, 9);
     }
-    recorder.matches("fresh");
+    recorder.assertMatches("fresh");
   }
 
   /**
@@ -68,10 +68,11 @@
         List<Integer> backends = backendsUsedInOneSecond(runtime);
         long backendCount = backends.stream().distinct().count();
         String share = shareOf(newBackend, backends);
-        recorder.say(proxyIndex + " in second " + second + ": " + share + " at " + backendCount);
+        recorder.recordLine(
+            proxyIndex + " in second " + second + ": " + share + " at " + backendCount);
       }
     }
-    recorder.matches("fresh-part");
+    recorder.assertMatches("fresh-part");
   }
 
   /**
@@ -95,7 +96,7 @@
       runtime.addNewBackend(1);
       recordShares(recorder, "of " + proxyCount, runtime, 1, 3);
     }
-    recorder.matches("fresh-quiet");
+    recorder.assertMatches("fresh-quiet");
   }
 
   /**
@@ -127,7 +128,7 @@
         }
         List<Integer> backends =
             runtime.attemptBackends.subList(attemptsBefore, runtime.attemptBackends.size());
-        recorder.say(
+        recorder.recordLine(
             "new one "
                 + slowdown
                 + " times as slow, second "
@@ -139,7 +140,7 @@
         }
       }
     }
-    recorder.matches("fresh-shows");
+    recorder.assertMatches("fresh-shows");
   }
 
   /**
@@ -161,7 +162,7 @@
               .mapToInt(backend -> Collections.frequency(runtime.attemptBackends, backend))
               .max()
               .orElse(0);
-      recorder.say(
+      recorder.recordLine(
           "one of "
               + proxyCount
               + ": "
@@ -170,6 +171,6 @@
               + mostAtOneBackend
               + " at most to a srv");
     }
-    recorder.matches("all-start");
+    recorder.assertMatches("all-start");
   }
 }
--- a/decisions/src/test/java/wheattrack/testing/TraceRecorder.java
+++ b/decisions/src/test/java/wheattrack/testing/TraceRecorder.java
@@ -20,14 +20,14 @@
   public boolean quiet;
 
   /** Appends one line, unless recording is switched off. */
-  public void say(String line) {
+  public void recordLine(String line) {
     if (!quiet) {
       trace.append(line).append('\n');
     }
   }
 
   /** Compares with the expected trace; the actual one is left in target/traces for inspection. */
-  public void matches(String name) throws IOException {
+  public void assertMatches(String name) throws IOException {
     Files.createDirectories(ACTUAL);
     Files.writeString(ACTUAL.resolve(name + ".txt"), trace);
     assertEquals(Files.readString(EXPECTED.resolve(name + ".txt")), trace.toString());
--- a/proxy/src/test/java/wheattrack/config/ProxyConfigTest.java
+++ b/proxy/src/test/java/wheattrack/config/ProxyConfigTest.java
@@ -71,10 +71,10 @@
   void validFileIsReadAndErrorNamesTheKey() throws Exception {
     TraceRecorder recorder = new TraceRecorder();
     for (String file : FILES) {
-      recorder.say(addressesOrError(() -> parse(file)));
+      recorder.recordLine(addressesOrError(() -> parse(file)));
     }
-    recorder.say(addressesOrError(() -> ProxyConfig.read(Path.of("no-such-file.json"))));
-    recorder.matches("config");
+    recorder.recordLine(addressesOrError(() -> ProxyConfig.read(Path.of("no-such-file.json"))));
+    recorder.assertMatches("config");
   }
 
   /** The build trains a start with the example's file, also where its port is in use. */
@@ -86,12 +86,12 @@
         file,
         "{\"listen\":\"10.0.0.4:8000\",\"discovery\":\"10.2.0.1:8500\",\"settings\":"
             + "{\"ruleSets\":[{\"name\":\"buy\",\"effect\":\"read_like\",\"clientTimeout\":1000}]}}");
-    recorder.say(
+    recorder.recordLine(
         "served at "
             + ProxyConfig.read(file).listen()
             + ", rehearsed at "
             + ProxyConfig.readForTraining(file, 9).listen());
     Files.delete(file);
-    recorder.matches("rehearsal");
+    recorder.assertMatches("rehearsal");
   }
 }
--- a/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
+++ b/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
@@ -32,16 +32,16 @@
     TraceRecorder recorder = new TraceRecorder();
     recordSlotTable(recorder);
     recordBackendIndex(recorder);
-    recorder.matches("tables");
+    recorder.assertMatches("tables");
   }
 
   private static void recordSlotTable(TraceRecorder recorder) {
     SlotTable<String> slots = new SlotTable<>();
-    recorder.say("slots " + slots.add("a") + slots.add("b") + slots.add("c"));
+    recorder.recordLine("slots " + slots.add("a") + slots.add("b") + slots.add("c"));
     slots.remove(1);
     slots.remove(1);
     slots.remove(7);
-    recorder.say(
+    recorder.recordLine(
         slots.size()
             + " left "
             + slots.all()
@@ -57,17 +57,18 @@
     for (String id : List.of("x", "y", "z")) {
       TestBackend backend = backends.getOrAdd(id);
       String novelty = backends.markListed(backend) ? " fresh" : " known";
-      recorder.say(id + " at " + backend.index() + novelty);
+      recorder.recordLine(id + " at " + backend.index() + novelty);
     }
-    recorder.say("x again " + (backends.markListed(backends.getOrAdd("x")) ? "fresh" : "known"));
+    recorder.recordLine(
+        "x again " + (backends.markListed(backends.getOrAdd("x")) ? "fresh" : "known"));
     backends.find("x").isBusy = true;
     for (TestBackend backend : backends.listedExcept(Set.of("z"))) {
       boolean wasListed = backends.markUnlisted(backend);
-      recorder.say(backend.id() + " missing " + wasListed + backends.markUnlisted(backend));
+      recorder.recordLine(backend.id() + " missing " + wasListed + backends.markUnlisted(backend));
     }
-    recorder.say(
+    recorder.recordLine(
         "new ones at " + backends.getOrAdd("v").index() + " and " + backends.getOrAdd("w").index());
-    recorder.say(
+    recorder.recordLine(
         "y "
             + backends.find("y")
             + ", x still at "
--- a/proxy/src/test/java/wheattrack/core/LifecycleTest.java
+++ b/proxy/src/test/java/wheattrack/core/LifecycleTest.java
@@ -11,7 +11,7 @@
   @Test
   void phasesOnlyGoForward() throws IOException {
     TraceRecorder recorder = new TraceRecorder();
-    Lifecycle lifecycle = new Lifecycle(phase -> recorder.say("enters " + phase));
+    Lifecycle lifecycle = new Lifecycle(phase -> recorder.recordLine("enters " + phase));
     for (Phase phase :
         List.of(
             Phase.WARMING,
@@ -21,13 +21,13 @@
             Phase.SERVING,
             Phase.CLOSING,
             Phase.ENDED)) {
-      recorder.say(
+      recorder.recordLine(
           phase
               + " "
               + lifecycle.advanceTo(phase)
               + (lifecycle.isReady() ? " ready" : "")
               + (lifecycle.isShuttingDown() ? " leaving" : ""));
     }
-    recorder.matches("phases");
+    recorder.assertMatches("phases");
   }
 }
--- a/proxy/src/test/java/wheattrack/core/TimerQueueTest.java
+++ b/proxy/src/test/java/wheattrack/core/TimerQueueTest.java
@@ -16,7 +16,7 @@
     for (int i = 0; i < 200; i++) {
       int deadline = i * 37 % 50;
       String name = deadline + "." + i;
-      timers.add(queue.add(deadline, () -> recorder.say(name)));
+      timers.add(queue.add(deadline, () -> recorder.recordLine(name)));
     }
     for (int i = 0; i < 200; i++) {
       if (i % 9 != 0) {
@@ -26,11 +26,11 @@
     }
     queue.cancel(null);
     for (int now = 0; queue.size() > 0; now += 10) {
-      recorder.say("by " + now + ", first " + queue.nextDeadline());
+      recorder.recordLine("by " + now + ", first " + queue.nextDeadline());
       for (Runnable task = queue.pollDue(now); task != null; task = queue.pollDue(now)) {
         task.run();
       }
     }
-    recorder.matches("deadlines");
+    recorder.assertMatches("deadlines");
   }
 }
--- a/proxy/src/test/java/wheattrack/http/HttpCodecTest.java
+++ b/proxy/src/test/java/wheattrack/http/HttpCodecTest.java
@@ -125,7 +125,7 @@
     ResponseDecoder decoder = new ResponseDecoder();
     decoder.expectNoBody(true);
     recordMessages(decoder, OK_LINE + "Content-Length: 5\r\n\r\n");
-    recorder.matches("http-long");
+    recorder.assertMatches("http-long");
   }
 
   @Test
@@ -140,7 +140,7 @@
   }
 
   private void recordLongMessage(Decoder<?> decoder, String text) {
-    recorder.say(abbreviate(text));
+    recorder.recordLine(abbreviate(text));
     try {
       decodeLongMessages(decoder, text);
       if (decoder.endOfStream()) {
@@ -161,11 +161,11 @@
         continue;
       }
       String description = describe(message).replaceAll("body=.*\\(", "body of (");
-      recorder.say("  " + description + ", more " + remainingBody(message));
+      recorder.recordLine("  " + description + ", more " + remainingBody(message));
       if (decoder.isStreamingBody()) {
         StreamedBody streamed = streamBody(decoder, text, index);
         index = streamed.end();
-        recorder.say("  and " + streamed.summary());
+        recorder.recordLine("  and " + streamed.summary());
       }
     }
   }
@@ -173,11 +173,11 @@
   private void recordLastBodyPart(Decoder<?> decoder) throws MalformedMessageException {
     int size = decoder.nextBodyPart().remaining();
     String completeness = decoder.isStreamingBody() ? " and on" : " whole";
-    recorder.say("  till the end: " + size + completeness);
+    recorder.recordLine("  till the end: " + size + completeness);
   }
 
   private void recordRejection(MalformedMessageException e) {
-    recorder.say("  bad, " + e.status() + ": " + e.getMessage());
+    recorder.recordLine("  bad, " + e.status() + ": " + e.getMessage());
   }
 
   /** The rest of a body as the expected traces show it: its length, or a code of its framing. */
@@ -216,13 +216,13 @@
   }
 
   private void recordMessages(Decoder<?> decoder, String text) {
-    recorder.say(abbreviate(text));
+    recorder.recordLine(abbreviate(text));
     for (byte b : bytes(text)) {
       decoder.writableBuffer().put(b);
       try {
         Object message = decoder.next();
         if (message != null) {
-          recorder.say("  " + describe(message));
+          recorder.recordLine("  " + describe(message));
         }
       } catch (MalformedMessageException e) {
         recordRejection(e);
@@ -230,7 +230,7 @@
       }
     }
     if (decoder.isMidMessage()) {
-      recorder.say("  not whole");
+      recorder.recordLine("  not whole");
     }
   }
 
@@ -240,7 +240,7 @@
     for (String text : texts) {
       recordMessages(newDecoder.get(), text);
     }
-    recorder.matches(traceName);
+    recorder.assertMatches(traceName);
   }
 
   @Test
@@ -314,14 +314,14 @@
             untilClose + "no object\n[]\n{\"cut off\n{}\n",
             "HTTP/1.1 503 No\r\n\r\n",
             chunked + "q")) {
-      recorder.say(abbreviate(text));
+      recorder.recordLine(abbreviate(text));
       try {
         recordLines(text);
       } catch (MalformedMessageException e) {
-        recorder.say("  bad: " + e.getMessage());
+        recorder.recordLine("  bad: " + e.getMessage());
       }
     }
-    recorder.matches("http-lines");
+    recorder.assertMatches("http-lines");
   }
 
   private void recordLines(String text) throws MalformedMessageException {
@@ -329,7 +329,7 @@
     for (byte b : bytes(text)) {
       decoder.writableBuffer().put(b);
       for (String line = decoder.next(); line != null; line = decoder.next()) {
-        recorder.say("  [" + line + "]");
+        recorder.recordLine("  [" + line + "]");
       }
     }
   }
@@ -346,9 +346,9 @@
             Encoder.response(new Response(200, headers, true, body)),
             Encoder.response(new Response(503, new Headers(), false, NO_BYTES)),
             Encoder.continueResponse())) {
-      recorder.say(onOneLine(message));
+      recorder.recordLine(onOneLine(message));
     }
-    recorder.matches("http-encoded");
+    recorder.assertMatches("http-encoded");
   }
 
   private static String onOneLine(ByteBuffer bytes) {
--- a/proxy/src/test/java/wheattrack/net/AdminServerTest.java
+++ b/proxy/src/test/java/wheattrack/net/AdminServerTest.java
@@ -46,12 +46,12 @@
           "\u0001\r\n\r\n",
           "GET /status HTTP/1.1\r\nA: " + "1".repeat(20_000) + "\r\n\r\n"
         }) {
-      recorder.say(
+      recorder.recordLine(
           request.substring(0, Math.min(30, request.length())).replaceAll("[^ -~]+", "|")
               + " -> "
               + callAdmin(request));
     }
-    recorder.matches("admin-calls");
+    recorder.assertMatches("admin-calls");
   }
 
   /** Each final answer is counted once, under its class; attempts are those written completely. */
@@ -76,15 +76,15 @@
     try (Socket socket = connect()) {
       send(socket, request("buy"));
       Thread.sleep(100);
-      recorder.say("one out: " + callAdminForMetrics().replace("\n", ", "));
+      recorder.recordLine("one out: " + callAdminForMetrics().replace("\n", ", "));
       readAnswer(socket);
     }
     String finalMetrics = callAdminForMetrics();
-    recorder.say("none out: " + finalMetrics.replace("\n", ", "));
+    recorder.recordLine("none out: " + finalMetrics.replace("\n", ", "));
     assertTrue(
         finalMetrics.contains("proxy.attempts:" + requestsReceived.get() + "|c"),
         requestsReceived.get() + " against " + finalMetrics);
-    recorder.matches("admin-figures");
+    recorder.assertMatches("admin-figures");
   }
 
   /** Idle admin connections, more than there are places, delay no answer. */
--- a/proxy/src/test/java/wheattrack/net/LargeBodiesTest.java
+++ b/proxy/src/test/java/wheattrack/net/LargeBodiesTest.java
@@ -251,7 +251,7 @@
             result = result.matches("200 as sent|503 0") ? "done or denied" : result;
             receivedBodies.remove(id);
           }
-          recorder.say(
+          recorder.recordLine(
               mode
                   + " to "
                   + className
@@ -264,7 +264,7 @@
         assertTrue(requestsReceived.get() - requestsBefore <= 3, mode);
       }
     }
-    recorder.matches("long-ways");
+    recorder.assertMatches("long-ways");
   }
 
   /**
@@ -287,12 +287,12 @@
         slow.getOutputStream().write(body, offset, 6400);
         Thread.sleep(100);
       }
-      recorder.say(
+      recorder.recordLine(
           "slow: "
               + readAnswerChecksum(slow).equals("200 " + checksum(randomBytes(100_000, 100_000), 1))
               + ", body "
               + checksum(body, 1).equals(receivedBodies.get("b2")));
-      recorder.say(
+      recorder.recordLine(
           "stalls: "
               + readAnswerChecksum(stalled).substring(0, 3)
               + ", in time "
@@ -305,15 +305,15 @@
           expecting,
           requestHead("pay", "plain,3", "b3", 70_000)
               .replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n"));
-      recorder.say("expects: " + readAnswer(expecting));
+      recorder.recordLine("expects: " + readAnswer(expecting));
       expecting.getOutputStream().write(randomBytes(4, 70_000));
-      recorder.say(
+      recorder.recordLine(
           "then: "
               + readAnswerChecksum(expecting).substring(0, 5)
               + " "
               + receivedBodies.get("b3").startsWith("70000/"));
     }
-    recorder.matches("long-slow");
+    recorder.assertMatches("long-slow");
   }
 
   /**
--- a/proxy/src/test/java/wheattrack/net/LogRecording.java
+++ b/proxy/src/test/java/wheattrack/net/LogRecording.java
@@ -20,7 +20,7 @@
 
   @Override
   public void publish(LogRecord entry) {
-    recorder.say(
+    recorder.recordLine(
         "log: "
             + entry
                 .getMessage()
--- a/proxy/src/test/java/wheattrack/net/ProxyServerTest.java
+++ b/proxy/src/test/java/wheattrack/net/ProxyServerTest.java
@@ -52,7 +52,7 @@
         backends.enqueue(actions.toArray(BackendAction[]::new));
         int requestsBefore = requestsReceived.get();
         String answer = call(request(className)).replaceAll("s\\d", "ok");
-        recorder.say(
+        recorder.recordLine(
             className
                 + " ["
                 + traceText(actions)
@@ -67,7 +67,7 @@
         call(request("buy"));
       }
     }
-    recorder.matches("server-outcomes");
+    recorder.assertMatches("server-outcomes");
   }
 
   /** The headers that are forwarded both ways, and the timeout of a silent backend. */
@@ -75,7 +75,7 @@
   void headersAreForwardedAndSilenceIsBounded() throws Exception {
     startProxyWithBackends(2);
     backends.enqueue(BackendAction.ECHO);
-    recorder.say(
+    recorder.recordLine(
         call(
             "PUT /buy/7?x=%20y HTTP/1.1\r\n"
                 + "Host: shop\r\n"
@@ -94,14 +94,14 @@
         call(request("pay").replace("Work-Hint", "Request-Timeout: 1.000\r\nWork-Hint"));
     long elapsed = (System.nanoTime() - startedAt) / 1_000_000;
     boolean isInTime = elapsed > 700 && elapsed <= 1000;
-    recorder.say(
+    recorder.recordLine(
         "silent: "
             + answer.replaceAll("50[24]", "502 or 504")
             + ", in time "
             + isInTime
             + ", sent "
             + requestsReceived.get());
-    recorder.matches("server-passes-on");
+    recorder.assertMatches("server-passes-on");
   }
 
   /** Malformed requests get a 4xx and a closed connection, and the next client is served. */
@@ -129,14 +129,14 @@
         send(socket, request);
         String excerpt =
             request.substring(0, Math.min(70, request.length())).replaceAll("[^ -~]+", "|");
-        recorder.say(excerpt + " -> " + readAnswer(socket));
+        recorder.recordLine(excerpt + " -> " + readAnswer(socket));
       }
     }
     try (Socket socket = connect()) {
       send(socket, post + "Expect: 100-continue\r\nContent-Length: 2\r\n\r\n");
-      recorder.say("expecting -> " + readAnswer(socket));
+      recorder.recordLine("expecting -> " + readAnswer(socket));
       send(socket, "hi" + request("buy") + request("buy"));
-      recorder.say(
+      recorder.recordLine(
           "whole, and two more at once -> "
               + readAnswer(socket).substring(0, 3)
               + " "
@@ -144,7 +144,7 @@
               + " "
               + readAnswer(socket).substring(0, 3));
     }
-    recorder.matches("server-bad-clients");
+    recorder.assertMatches("server-bad-clients");
   }
 
   /**
@@ -159,13 +159,14 @@
         Socket dripping = connect();
         Socket halved = connect();
         Socket idle = connect()) {
-      recorder.say("asks once and stays: " + call(idle, request("buy")).replaceAll("s\\d", "ok"));
+      recorder.recordLine(
+          "asks once and stays: " + call(idle, request("buy")).replaceAll("s\\d", "ok"));
       send(halved, halfHead);
       for (int i = 0; i < 20; i++) {
         send(dripping, "X");
         Thread.sleep(100);
       }
-      recorder.say(
+      recorder.recordLine(
           "silent "
               + readAnswer(silent)
               + ", dripping "
@@ -178,13 +179,14 @@
               + (System.nanoTime() - startedAt < 3_000_000_000L));
     }
     try (Socket slow = connect()) {
-      recorder.say("usual: " + call(slow, request("buy")).replaceAll("s\\d", "ok"));
+      recorder.recordLine("usual: " + call(slow, request("buy")).replaceAll("s\\d", "ok"));
       Thread.sleep(1000);
       send(slow, halfHead);
       Thread.sleep(1500);
-      recorder.say("rests and writes slowly: " + call(slow, "\r\n").replaceAll("s\\d", "ok"));
+      recorder.recordLine(
+          "rests and writes slowly: " + call(slow, "\r\n").replaceAll("s\\d", "ok"));
     }
-    recorder.matches("server-in-time");
+    recorder.assertMatches("server-in-time");
   }
 
   /** A second request with the id of one in flight once reached the backends. */
@@ -196,14 +198,14 @@
       String sameRequest = request("buy");
       send(first, sameRequest);
       awaitFirstRequest();
-      recorder.say("id open: " + call(sameRequest) + ", sent " + requestsReceived);
-      recorder.say(
+      recorder.recordLine("id open: " + call(sameRequest) + ", sent " + requestsReceived);
+      recorder.recordLine(
           "first: "
               + readAnswer(first)
               + ", id free: "
               + call(sameRequest).replaceAll("s\\d", "ok"));
     }
-    recorder.matches("server-open-id");
+    recorder.assertMatches("server-open-id");
   }
 
   /** The attempt of a client that has disconnected is cancelled. */
@@ -217,9 +219,9 @@
     awaitFirstRequest();
     socket.close();
     String closing = observations.poll(2000, TimeUnit.MILLISECONDS);
-    recorder.say(
+    recorder.recordLine(
         "client left, backend's connection " + closing + ", sent " + requestsReceived.get());
-    recorder.matches("server-client-leaves");
+    recorder.assertMatches("server-client-leaves");
   }
 
   /**
@@ -232,7 +234,7 @@
         Socket idle = connect()) {
       backends.enqueue(BackendAction.SLOW_OK);
       send(idle, "GET /ready HTTP/1.1\r\n\r\n");
-      recorder.say("before: " + readAnswer(idle));
+      recorder.recordLine("before: " + readAnswer(idle));
       Thread ending = startThread(server::shutdown);
       while (!call("GET /ready HTTP/1.1\r\n\r\n").startsWith("503")) {
         Thread.sleep(5);
@@ -241,19 +243,19 @@
       while (!backends.isScriptOver()) {
         Thread.sleep(5);
       }
-      recorder.say("draining: " + call("GET /ready HTTP/1.1\r\n\r\n"));
-      recorder.say("one more: " + call(request("buy")).replaceAll("s[012]", "ok"));
-      recorder.say("open: " + readAnswer(slow) + ", idle: " + readAnswer(idle));
+      recorder.recordLine("draining: " + call("GET /ready HTTP/1.1\r\n\r\n"));
+      recorder.recordLine("one more: " + call(request("buy")).replaceAll("s[012]", "ok"));
+      recorder.recordLine("open: " + readAnswer(slow) + ", idle: " + readAnswer(idle));
       ending.join(5000);
       serverThread.join(5000); // shutdown() may return just before the serving thread ends
-      recorder.say("ended: " + !serverThread.isAlive());
+      recorder.recordLine("ended: " + !serverThread.isAlive());
       try (Socket late = connect()) {
-        recorder.say("late: accepted " + late.isConnected());
+        recorder.recordLine("late: accepted " + late.isConnected());
       } catch (IOException e) {
-        recorder.say("late: " + e.getMessage());
+        recorder.recordLine("late: " + e.getMessage());
       }
     }
-    recorder.matches("server-ends");
+    recorder.assertMatches("server-ends");
   }
 
   /** A known list, malformed entries and lines, a backend that drains, moves and is deleted. */
@@ -271,7 +273,7 @@
         1024,
         listLine(
             3, true, endpoint("s0", "SERVING", ports[0]), endpoint("s9", "SERVING", closedPort)));
-    recorder.say("known of old: " + servingBackends());
+    recorder.recordLine("known of old: " + servingBackends());
     sendListLine(
         listLine(
             5,
@@ -291,8 +293,8 @@
     sendListLine(listLine(10, true, endpoint("s1", "SERVING", ports[1])));
     Thread.sleep(3300); // without a line the watch counts as broken
     observations.removeIf("closed"::equals);
-    recorder.say("asked " + observations);
-    recorder.matches("server-list");
+    recorder.recordLine("asked " + observations);
+    recorder.assertMatches("server-list");
   }
 
   /**
@@ -316,7 +318,7 @@
       send(early, request("buy"));
       Thread.sleep(100);
       endpointList.send(currentList);
-      recorder.say(
+      recorder.recordLine(
           "came early: "
               + readAnswer(early)
               + ", then "
@@ -327,13 +329,13 @@
     server.shutdown();
     endpointList.clear();
     run(new ProxyServer(new ProxyConfig(Json.object(config(listPort, 1024, knownList)))));
-    recorder.say("discovery says nothing: " + call(request("buy")));
+    recorder.recordLine("discovery says nothing: " + call(request("buy")));
     Thread.sleep(3300);
-    recorder.say("for 3 s: " + servingBackends());
+    recorder.recordLine("for 3 s: " + servingBackends());
     endpointList.send(currentList);
     Thread.sleep(300);
-    recorder.say("and then: " + servingBackends());
-    recorder.matches("server-starts");
+    recorder.recordLine("and then: " + servingBackends());
+    recorder.assertMatches("server-starts");
   }
 
   /**
@@ -361,16 +363,16 @@
       }
       endpointList.send(listLine(9, true, manyEndpoints));
       Thread.sleep(300);
-      recorder.say("60 entries, 40 broken: " + servingBackends());
+      recorder.recordLine("60 entries, 40 broken: " + servingBackends());
       endpointList.sendPartOf(listLine(10, true, endpoints[0]));
       Thread.sleep(600);
-      recorder.say("cut off: " + servingBackends());
+      recorder.recordLine("cut off: " + servingBackends());
       listeners.get(listeners.size() - 1).close(); // that of the list
       endpointList.closeWatch();
       Thread.sleep(1000);
-      recorder.say("refuses: " + servingBackends());
+      recorder.recordLine("refuses: " + servingBackends());
     }
-    recorder.matches("server-list-trouble");
+    recorder.assertMatches("server-list-trouble");
   }
 
   /**
@@ -408,21 +410,21 @@
         new ProcessBuilder("kill", "-HUP", "" + ProcessHandle.current().pid()).start().waitFor();
         Thread.sleep(200);
       }
-      recorder.say("open meanwhile: " + readAnswer(slow));
+      recorder.recordLine("open meanwhile: " + readAnswer(slow));
       endpointList.send(listLine(1, true, newEndpoint));
       Thread.sleep(200);
       observations.removeIf("closed"::equals);
-      recorder.say("asked " + observations + ", now " + servingBackends());
+      recorder.recordLine("asked " + observations + ", now " + servingBackends());
     } finally {
       Files.delete(file);
     }
-    recorder.matches("server-rereads");
+    recorder.assertMatches("server-rereads");
   }
 
   private void sendListLine(String line) throws Exception {
     endpointList.send(line);
     Thread.sleep(300);
-    recorder.say(line.replaceAll("127.0.0.1:\\d+", "PORT") + "\n  " + servingBackends());
+    recorder.recordLine(line.replaceAll("127.0.0.1:\\d+", "PORT") + "\n  " + servingBackends());
   }
 
   /** The backends that serve ten requests. */
@@ -441,12 +443,12 @@
     startProxy(64, "{}");
     List<Socket> open = new ArrayList<>();
     Socket regularClient = connect();
-    recorder.say("usual: " + call(regularClient, request("buy")));
+    recorder.recordLine("usual: " + call(regularClient, request("buy")));
     for (int i = 0; i < 27; i++) {
       open.add(connect());
       Thread.sleep(i == 14 ? 300 : 0);
     }
-    recorder.say(
+    recorder.recordLine(
         "beside 27 that say nothing: "
             + call(request("buy"))
             + ", usual: "
@@ -467,11 +469,11 @@
       }
     }
     backends.clearScript();
-    recorder.say("of 30 at once all answered, some denied: " + (served > 0 && rejected > 0));
+    recorder.recordLine("of 30 at once all answered, some denied: " + (served > 0 && rejected > 0));
     for (Socket socket : open) {
       socket.close();
     }
-    recorder.say("after: " + call(request("buy")));
-    recorder.matches("server-few-sockets");
+    recorder.recordLine("after: " + call(request("buy")));
+    recorder.assertMatches("server-few-sockets");
   }
 }
--- a/proxy/src/test/java/wheattrack/net/ReloadTest.java
+++ b/proxy/src/test/java/wheattrack/net/ReloadTest.java
@@ -79,15 +79,15 @@
             movedConfig.replace("sell", "buy")
           }) {
         reload(text);
-        recorder.say("sell " + statusFor("sell") + ", buy " + statusFor("buy"));
+        recorder.recordLine("sell " + statusFor("sell") + ", buy " + statusFor("buy"));
       }
     }
-    recorder.say("failed " + metric("reloads_failed") + ", ok " + metric("reloads_ok"));
+    recorder.recordLine("failed " + metric("reloads_failed") + ", ok " + metric("reloads_ok"));
     Files.delete(file);
     server.reload(file);
     int failed = metric("reloads_failed"); // answered after the reload
     reload(goodConfig);
-    recorder.say(
+    recorder.recordLine(
         "no file, then a good one: sell "
             + statusFor("sell")
             + ", failed "
@@ -96,7 +96,7 @@
             + metric("reloads_ok")
             + ", lists asked for "
             + endpointList.watchCount());
-    recorder.matches("reload-broken");
+    recorder.assertMatches("reload-broken");
   }
 
   /**
@@ -122,14 +122,14 @@
         Thread.sleep(1);
       }
       reload(text);
-      recorder.say(
+      recorder.recordLine(
           "open through the change: "
               + readAnswer(socket).replaceAll("s\\d", "ok")
               + ", sent "
               + (requestsReceived.get() - requestsBefore));
       backends.enqueue(BackendAction.STATUS_500, BackendAction.OK);
       requestsBefore = requestsReceived.get();
-      recorder.say(
+      recorder.recordLine(
           "  then: "
               + statusFor("buy")
               + ", let "
@@ -140,11 +140,11 @@
       reload(currentConfig);
       sockets.add(socket);
     }
-    recorder.say("buy served " + metric("served.buy") + ", failed " + metric("failed.buy"));
+    recorder.recordLine("buy served " + metric("served.buy") + ", failed " + metric("failed.buy"));
     for (Socket socket : sockets) {
       socket.close();
     }
-    recorder.matches("reload-moves");
+    recorder.assertMatches("reload-moves");
   }
 
   /** Any files at any moment under traffic: each is counted, and each request is answered. */
