--- a/decisions/src/main/java/wheattrack/policy/AdmissionControl.java
+++ b/decisions/src/main/java/wheattrack/policy/AdmissionControl.java
@@ -14,7 +14,7 @@
    * latency objective counts as overloaded, and admits only requests that wait for no more than
    * this fraction of their time left.
    */
-  static final double TOLERATED_WAIT = 0.125;
+  static final double TOLERATED_WAIT_FRACTION = 0.125;
 
   /** Share of the requests sent that may end late before load is shed. */
   private static final double TOLERATED_LATE_SHARE = 0.1;
@@ -27,7 +27,7 @@
    */
   private static final double MIN_SHED_SHARE = 0.01;
 
-  /** The shed share moves towards its target by the inverse of this each second. */
+  /** Each second the shed share moves towards its target by the difference divided by this. */
   private static final int SHED_SHARE_SMOOTHING_DIVISOR = 2;
 
   /** A request is heavy if it costs more than this many times the mean. */
@@ -89,16 +89,16 @@
       return true; // estimates may be wrong, and a single request corrects them
     }
     double meanTime = state.costs().meanCost() / state.throughput().costPerTick(backend);
-    double toleratedWait = Math.max(TOLERATED_WAIT * state.tightestObjective(), meanTime);
+    double toleratedWait = Math.max(TOLERATED_WAIT_FRACTION * state.tightestObjective(), meanTime);
     double limit = timeLeft;
     if (backend.meanWait() > toleratedWait) {
-      limit = Math.min(timeLeft, Math.max(TOLERATED_WAIT * timeLeft, meanTime));
+      limit = Math.min(timeLeft, Math.max(TOLERATED_WAIT_FRACTION * timeLeft, meanTime));
     }
     return state.waits().waitAt(backend) <= limit;
   }
 
   /** Records that an attempt was sent, which ends a period of rejecting heavy requests. */
-  void onSent() {
+  void onAttemptSent() {
     tooHeavySince = 0;
   }
 
--- a/decisions/src/main/java/wheattrack/policy/BackendSelector.java
+++ b/decisions/src/main/java/wheattrack/policy/BackendSelector.java
@@ -122,7 +122,7 @@
     if (finish > timeLeft || (!ownInterval && state.failureRates().isFailing(backend))) {
       return Preference.TOO_LATE;
     }
-    if (!state.zoneFactor().isOwn(backend) && !justifiesZoneCrossing(request)) {
+    if (!state.zoneWeights().isOwnZone(backend) && !justifiesZoneCrossing(request)) {
       return Preference.OTHER_ZONE;
     }
     double hintTime = request.request().costHint() / state.throughput().costPerTick(backend);
--- a/decisions/src/main/java/wheattrack/policy/IntervalPartition.java
+++ b/decisions/src/main/java/wheattrack/policy/IntervalPartition.java
@@ -84,7 +84,8 @@
   private int subsetSize(int readyCount) {
     int minSize = MIN_BACKENDS;
     if (state.reportedLoad().isExpected()) {
-      double bounded = Math.min(MAX_MIN_BACKENDS_WITH_REPORTS, state.traffic().idleConnections());
+      double bounded =
+          Math.min(MAX_MIN_BACKENDS_WITH_REPORTS, state.traffic().expectedIdleConnections());
       minSize = (int) Math.max(MIN_BACKENDS_WITH_REPORTS, bounded);
     }
     return (int) Math.max(minSize, PROXIES_PER_BACKEND * readyCount * state.traffic().ownShare());
@@ -103,7 +104,7 @@
               * Math.sqrt(relativeThroughput)
               * state.failureRates().healthOf(backend)
               * state.warmUp().capacityFraction(backend)
-              * state.zoneFactor().of(backend));
+              * state.zoneWeights().of(backend));
       sum += backend.share();
       cumulativeShares[i] = sum;
     }
--- a/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
+++ b/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
@@ -73,7 +73,8 @@
     BackendState backend = attempt.backend();
     // Guards against spending up to four attempts per request on closed ports. A rejection after a
     // wait comes from a backend that is running.
-    boolean immediate = latency < AdmissionControl.TOLERATED_WAIT * state.tightestObjective();
+    boolean immediate =
+        latency < AdmissionControl.TOLERATED_WAIT_FRACTION * state.tightestObjective();
     if (outcome.isRejection() && backend.inFlight() == 0 && immediate) {
       setEjected(backend, true, "turned away with nothing out");
     }
--- a/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
+++ b/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
@@ -110,7 +110,7 @@
   private void send(BackendState backend) {
     Attempt attempt = open.startAttempt(backend);
     balancer.slowStart.spend(backend, open.cost());
-    admission.onSent();
+    admission.onAttemptSent();
     long timeout = open.request().deadline() - attempt.sentAt();
     AttemptCallback callback =
         (outcome, latency, ended) -> onOutcome(attempt, outcome, latency, ended);
--- a/decisions/src/main/java/wheattrack/state/CostModel.java
+++ b/decisions/src/main/java/wheattrack/state/CostModel.java
@@ -7,21 +7,22 @@
 /**
  * The expected cost of a request as a function of its cost hint: {@code baseCost + scale * hint ^
  * exponent}. The constants are fitted to a window of recent hints such that the mean cost is the
- * mean hint; the exponent follows how steeply latencies rise with hints. A sudden move of the
- * recent hints against the window is interpreted as a change of their unit: older hints are
- * dropped, and all costs are rescaled so that a mean request stays as much work as before.
+ * mean hint; the exponent follows how steeply latencies rise with hints. If the mean of the recent
+ * hints suddenly differs from that of the window, this is interpreted as a change of their unit:
+ * older hints are dropped, and all costs are rescaled so that a mean request stays as much work as
+ * before.
  *
  * <p>Refitting sorts the window, O(n log n) for its 2000 hints, once a second and while the window
  * doubles. Not thread-safe.
  */
 public final class CostModel {
   /** Number of hints in the window. */
-  public static final int WINDOW = 2000;
+  public static final int WINDOW_SIZE = 2000;
 
   /** Number of latest hints that are compared with the window to detect a change of their unit. */
-  private static final int RECENT = 16;
+  private static final int RECENT_HINTS = 16;
 
-  /** Smallest change of the mean logarithm that counts as a change of unit. */
+  /** Smallest change of the mean logarithm that counts as a change of unit: a factor of 8. */
   private static final double MIN_UNIT_CHANGE = Math.log(8);
 
   /** The same, in standard errors of the mean logarithm of the recent hints. */
@@ -30,7 +31,7 @@
   /** Hints above this many times the median count as that limit. */
   private static final double MAX_MEDIAN_MULTIPLE = 1000;
 
-  /** Part of the mean cost that every request costs at least. */
+  /** Fraction of the mean cost that every request costs at least. */
   private static final double BASE_SHARE = 0.25;
 
   /** Weight of a latency above the fit, as it may include a wait behind other proxies' requests. */
@@ -60,8 +61,8 @@
   }
 
   private final Listener listener;
-  private final DecayingLinearRegression latencyFit = new DecayingLinearRegression(WINDOW);
-  private final double[] window = new double[WINDOW];
+  private final DecayingLinearRegression latencyFit = new DecayingLinearRegression(WINDOW_SIZE);
+  private final double[] window = new double[WINDOW_SIZE];
   private long hintsSeen;
   private boolean requestsCameBeforeHints;
   private double[] sortedHints = {};
@@ -99,11 +100,12 @@
    * @param requestsBefore requests accepted before this one, with or without hints
    */
   void addHint(int hint, boolean clientRetry, long requestsBefore) {
-    window[(int) (hintsSeen++ % WINDOW)] = hint;
+    window[(int) (hintsSeen++ % WINDOW_SIZE)] = hint;
     requestsCameBeforeHints |= hintsSeen == 1 && requestsBefore > 0;
     if (!clientRetry || recentLogMean == 0) {
       double log = Math.log(Math.min(hint, maxHint));
-      recentLogMean = recentLogMean == 0 ? log : recentLogMean + (log - recentLogMean) / RECENT;
+      recentLogMean =
+          recentLogMean == 0 ? log : recentLogMean + (log - recentLogMean) / RECENT_HINTS;
     }
     boolean windowDoubled = (hintsSeen & hintsSeen - 1) == 0;
     if (windowDoubled || hasUnitChanged()) {
@@ -121,29 +123,30 @@
       dropOldHints();
     }
     double previousMeanCost = meanCost;
-    int n = (int) Math.min(hintsSeen, WINDOW);
+    int n = (int) Math.min(hintsSeen, WINDOW_SIZE);
     sortedHints = Arrays.copyOf(window, n);
     Arrays.sort(sortedHints);
     maxHint = MAX_MEDIAN_MULTIPLE * sortedHints[n / 2];
     fitConstants(n);
     sumCosts(n);
-    if (unitChanged || (requestsCameBeforeHints && n <= RECENT)) {
+    if (unitChanged || (requestsCameBeforeHints && n <= RECENT_HINTS)) {
       rescale(meanCost / previousMeanCost);
     }
   }
 
   private boolean hasUnitChanged() {
-    return hintsSeen > RECENT && Math.abs(recentLogMean - windowLogMean) > unitChangeThreshold;
+    return hintsSeen > RECENT_HINTS
+        && Math.abs(recentLogMean - windowLogMean) > unitChangeThreshold;
   }
 
   private void dropOldHints() {
     double[] latest =
-        LongStream.range(hintsSeen - RECENT, hintsSeen)
-            .mapToDouble(i -> window[(int) (i % WINDOW)])
+        LongStream.range(hintsSeen - RECENT_HINTS, hintsSeen)
+            .mapToDouble(i -> window[(int) (i % WINDOW_SIZE)])
             .toArray();
-    System.arraycopy(latest, 0, window, 0, RECENT);
-    hintsSeen = RECENT;
-    recentLogMean = Arrays.stream(latest).map(Math::log).sum() / RECENT;
+    System.arraycopy(latest, 0, window, 0, RECENT_HINTS);
+    hintsSeen = RECENT_HINTS;
+    recentLogMean = Arrays.stream(latest).map(Math::log).sum() / RECENT_HINTS;
     listener.hintUnitChanged(Math.round(100 * Math.exp(recentLogMean - windowLogMean)));
   }
 
@@ -163,7 +166,7 @@
     windowLogMean = sumOfLogs / n;
     double deviation = Math.sqrt(Math.max(0, sumOfSquaredLogs / n - windowLogMean * windowLogMean));
     unitChangeThreshold =
-        Math.max(MIN_UNIT_CHANGE, UNIT_CHANGE_ERRORS * deviation / Math.sqrt(2 * RECENT - 1));
+        Math.max(MIN_UNIT_CHANGE, UNIT_CHANGE_ERRORS * deviation / Math.sqrt(2 * RECENT_HINTS - 1));
     baseCost = BASE_SHARE * sum / n;
     scale = (1 - BASE_SHARE) * sum / sumOfPowers;
   }
--- a/decisions/src/main/java/wheattrack/state/PolicyState.java
+++ b/decisions/src/main/java/wheattrack/state/PolicyState.java
@@ -38,7 +38,7 @@
   private final WaitEstimator waits = new WaitEstimator(this);
   private final WarmUpModel warmUp = new WarmUpModel(this);
   private final FailureRates failureRates = new FailureRates();
-  private final ZoneFactor zoneFactor = new ZoneFactor();
+  private final ZoneWeights zoneWeights = new ZoneWeights();
   private final IdleRejections idleRejections = new IdleRejections(this);
   private PolicySettings settings = PolicySettings.DEFAULTS;
   private long tightestObjective;
@@ -74,7 +74,7 @@
     throughput.setLoadReported(reported);
     reportedLoad.configure(reported, tightestObjective / REPORT_MAX_AGE_DIVISOR);
     traffic.configure(settings.traffic());
-    zoneFactor.configure(settings.zones().own(), settings.zones().crossingPrice());
+    zoneWeights.configure(settings.zones().own(), settings.zones().crossingPrice());
   }
 
   /** Records an accepted request; must be called before its first attempt. */
@@ -83,7 +83,7 @@
       costs.addHint(request.costHint(), request.isClientRetry(), traffic.requests());
     }
     OpenRequest open = new OpenRequest(this, request);
-    double gain = Math.max(1.0 / CostModel.WINDOW, 1.0 / traffic.countRequest());
+    double gain = Math.max(1.0 / CostModel.WINDOW_SIZE, 1.0 / traffic.countRequest());
     meanValue += (open.value() - meanValue) * gain;
     lateness.countArrival();
     return open;
@@ -143,7 +143,7 @@
    * to the current hints; must be called once a second.
    */
   public void decayCounts() {
-    zoneFactor.adapt(lateness.missedShare());
+    zoneWeights.adapt(lateness.missedShare());
     lateness.decay(COUNT_DECAY_PER_SECOND);
     costs.refit();
   }
@@ -261,8 +261,8 @@
   }
 
   /** Weights of backends by their zones. */
-  public ZoneFactor zoneFactor() {
-    return zoneFactor;
+  public ZoneWeights zoneWeights() {
+    return zoneWeights;
   }
 
   /** Rejections while nothing was in flight. */
--- a/decisions/src/main/java/wheattrack/state/TrafficShare.java
+++ b/decisions/src/main/java/wheattrack/state/TrafficShare.java
@@ -20,7 +20,7 @@
   private long requests;
   private long requestsAtLastUpdate;
   private long seconds = 1;
-  private long idleConnectionTime;
+  private long idleConnectionTimeout;
 
   TrafficShare(int proxyCount) {
     this.proxyCount = proxyCount;
@@ -58,19 +58,19 @@
 
   /** Sets the number of ready backends, over which idle connections are spread. */
   public void setReadyBackends(int count) {
-    idleConnectionTime =
+    idleConnectionTimeout =
         idleTimePerRate > 0 && totalQuota > 0
             ? (long) (idleTimePerRate * count / totalQuota)
             : Long.MAX_VALUE;
   }
 
-  /** For how long it pays to keep an idle connection, in ticks. */
-  public long idleConnectionTime() {
-    return idleConnectionTime;
+  /** How long an idle connection is kept open, in ticks. */
+  public long idleConnectionTimeout() {
+    return idleConnectionTimeout;
   }
 
   /** Expected number of idle connections at the present rate, if each request opens one. */
-  public double idleConnections() {
-    return ownRate * idleConnectionTime / Ticks.SECOND;
+  public double expectedIdleConnections() {
+    return ownRate * idleConnectionTimeout / Ticks.SECOND;
   }
 }
