--- a/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
@@ -29,8 +29,8 @@
   }
 
   /**
-   * Guards against sending further attempts to backends that are full, seen on the test days repas
-   * big-1 and i6d7f1e: the capacity of a backend is estimated from its rejections.
+   * Guards against sending further attempts to backends that are full, seen on the test day repas
+   * big-1 and recorded as i6d7f1e: the capacity of a backend is estimated from its rejections.
    */
   @Test
   void capacityIsEstimatedFromRejections() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
@@ -80,7 +80,7 @@
 
   /**
    * Guards against hundreds of proxies exhausting the connections of every backend, as 726 proxies
-   * did on the test day i306e13: each of many proxies uses a subset of the backends.
+   * did (recorded as i306e13): each of many proxies uses a subset of the backends.
    */
   @Test
   void eachOfManyProxiesUsesASubsetOfTheBackends() throws IOException {
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Guards against an outage of most backends in a proxy's subset, seen on the test day i8788ed:
-   * the subset grows within a second.
+   * Guards against an outage of most backends in a proxy's subset, recorded as i8788ed: the subset
+   * grows within a second.
    */
   @Test
   void subsetGrowsInAnOutage() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Guards against forgetting between two attempts that a backend is slow, seen on the test day
-   * ibf8546: where attempts are rare, the measurements of a backend decay more slowly.
+   * Guards against forgetting between two attempts that a backend is slow, recorded as ibf8546:
+   * where attempts are rare, the measurements of a backend decay more slowly.
    */
   @Test
   void slowBackendStaysKnownBetweenRareAttempts() throws IOException {
