--- a/decisions/src/main/java/wheattrack/state/CostModel.java
+++ b/decisions/src/main/java/wheattrack/state/CostModel.java
@@ -7,41 +7,46 @@
 /**
  * The expected cost of a request as a function of its cost hint: {@code baseCost + scale * hint ^
  * exponent}. The constants are fitted to a window of recent hints such that the mean cost is the
- * mean hint; the exponent follows how steeply latencies rise with hints. A sudden move of the
- * recent hints against the window is interpreted as a change of their unit: older hints are
- * dropped, and all costs are rescaled so that a mean request stays as much work as before.
+ * mean hint; the exponent follows how steeply latencies rise with hints. If the mean of the recent
+ * hints suddenly differs from that of the window, this is interpreted as a change of their unit:
+ * older hints are dropped, and all costs are rescaled so that a mean request stays as much work as
+ * before.
  *
  * <p>Refitting sorts the window, O(n log n) for its 2000 hints, once a second and while the window
  * doubles. Not thread-safe.
  */
 public final class CostModel {
-  /** Hints in the window. */
-  public static final int WINDOW = 2000;
+  /** Number of hints in the window. */
+  public static final int WINDOW_SIZE = 2000;
 
-  /** Hints that tell whether their unit has changed. */
-  private static final int RECENT = 16;
+  /** Number of latest hints that are compared with the window to detect a change of their unit. */
+  private static final int RECENT_HINTS = 16;
 
-  /** Smallest change of the mean logarithm that counts as a change of unit. */
+  /** Smallest change of the mean logarithm that counts as a change of unit: a factor of 8. */
   private static final double MIN_UNIT_CHANGE = Math.log(8);
 
-  /** The same in standard errors of the recent hints' mean logarithm. */
+  /** The same, in standard errors of the mean logarithm of the recent hints. */
   private static final double UNIT_CHANGE_ERRORS = 5;
 
-  /** Hints over this many times the median count as that. */
-  private static final double OUTLIER_MULTIPLE = 1000;
+  /** Hints above this many times the median count as that limit. */
+  private static final double MAX_MEDIAN_MULTIPLE = 1000;
 
-  /** Part of the mean cost that every request costs at least. */
+  /** Fraction of the mean cost that every request costs at least. */
   private static final double BASE_SHARE = 0.25;
 
-  /** Weight of a latency above the fit: such latencies hold the queues of others. */
+  /** Weight of a latency above the fit, as it may include a wait behind other proxies' requests. */
   private static final double WEIGHT_ABOVE_FIT = 0.1;
 
-  /** Weight of the prior in requests, and its exponent, where no load is reported. */
+  /** Weight of the prior exponent, in requests, where no load is reported. */
   private static final double PRIOR_WEIGHT = 8;
 
+  /** Exponent of the prior where no load is reported. */
   private static final double PRIOR_EXPONENT = 0.5;
 
-  /** Exponent of the prior where backends report load; it has twice the weight. */
+  /**
+   * Exponent of the prior where backends report load; it has twice the weight, as hints are trusted
+   * more.
+   */
   private static final double PRIOR_EXPONENT_WITH_REPORTS = 0.8;
 
   private static final double MIN_EXPONENT = 0.1;
@@ -49,17 +54,17 @@
   /** Notified of changes that concern all costs. */
   public interface Listener {
     /** The unit of hints has changed: recent hints are this percentage of earlier ones. */
-    void hintUnitChanged(long perCent);
+    void hintUnitChanged(long percent);
 
     /** All costs known so far are to be multiplied by this factor. */
     void costsRescaled(double factor);
   }
 
   private final Listener listener;
-  private final DecayingLinearRegression latencyFit = new DecayingLinearRegression(WINDOW);
-  private final double[] window = new double[WINDOW];
+  private final DecayingLinearRegression latencyFit = new DecayingLinearRegression(WINDOW_SIZE);
+  private final double[] window = new double[WINDOW_SIZE];
   private long hintsSeen;
-  private boolean hintsBeganLate;
+  private boolean requestsCameBeforeHints;
   private double[] sortedHints = {};
   private double[] cumulativeCosts = {0};
   private double maxHint = Integer.MAX_VALUE;
@@ -95,11 +100,12 @@
    * @param requestsBefore requests accepted before this one, with or without hints
    */
   void addHint(int hint, boolean clientRetry, long requestsBefore) {
-    window[(int) (hintsSeen++ % WINDOW)] = hint;
-    hintsBeganLate |= hintsSeen == 1 && requestsBefore > 0;
+    window[(int) (hintsSeen++ % WINDOW_SIZE)] = hint;
+    requestsCameBeforeHints |= hintsSeen == 1 && requestsBefore > 0;
     if (!clientRetry || recentLogMean == 0) {
       double log = Math.log(Math.min(hint, maxHint));
-      recentLogMean = recentLogMean == 0 ? log : recentLogMean + (log - recentLogMean) / RECENT;
+      recentLogMean =
+          recentLogMean == 0 ? log : recentLogMean + (log - recentLogMean) / RECENT_HINTS;
     }
     boolean windowDoubled = (hintsSeen & hintsSeen - 1) == 0;
     if (windowDoubled || hasUnitChanged()) {
@@ -116,52 +122,53 @@
     if (unitChanged) {
       dropOldHints();
     }
-    double before = meanCost;
-    int n = (int) Math.min(hintsSeen, WINDOW);
+    double previousMeanCost = meanCost;
+    int n = (int) Math.min(hintsSeen, WINDOW_SIZE);
     sortedHints = Arrays.copyOf(window, n);
     Arrays.sort(sortedHints);
-    maxHint = OUTLIER_MULTIPLE * sortedHints[n / 2];
+    maxHint = MAX_MEDIAN_MULTIPLE * sortedHints[n / 2];
     fitConstants(n);
     sumCosts(n);
-    if (unitChanged || (hintsBeganLate && n <= RECENT)) {
-      rescale(meanCost / before);
+    if (unitChanged || (requestsCameBeforeHints && n <= RECENT_HINTS)) {
+      rescale(meanCost / previousMeanCost);
     }
   }
 
   private boolean hasUnitChanged() {
-    return hintsSeen > RECENT && Math.abs(recentLogMean - windowLogMean) > unitChangeThreshold;
+    return hintsSeen > RECENT_HINTS
+        && Math.abs(recentLogMean - windowLogMean) > unitChangeThreshold;
   }
 
   private void dropOldHints() {
     double[] latest =
-        LongStream.range(hintsSeen - RECENT, hintsSeen)
-            .mapToDouble(i -> window[(int) (i % WINDOW)])
+        LongStream.range(hintsSeen - RECENT_HINTS, hintsSeen)
+            .mapToDouble(i -> window[(int) (i % WINDOW_SIZE)])
             .toArray();
-    System.arraycopy(latest, 0, window, 0, RECENT);
-    hintsSeen = RECENT;
-    recentLogMean = Arrays.stream(latest).map(Math::log).sum() / RECENT;
+    System.arraycopy(latest, 0, window, 0, RECENT_HINTS);
+    hintsSeen = RECENT_HINTS;
+    recentLogMean = Arrays.stream(latest).map(Math::log).sum() / RECENT_HINTS;
     listener.hintUnitChanged(Math.round(100 * Math.exp(recentLogMean - windowLogMean)));
   }
 
   private void fitConstants(int n) {
     double sum = 0;
-    double powers = 0;
-    double logs = 0;
-    double squares = 0;
+    double sumOfPowers = 0;
+    double sumOfLogs = 0;
+    double sumOfSquaredLogs = 0;
     for (double value : sortedHints) {
       double hint = Math.min(value, maxHint);
       sum += hint;
-      powers += Math.pow(hint, exponent);
+      sumOfPowers += Math.pow(hint, exponent);
       double log = Math.log(hint);
-      logs += log;
-      squares += log * log;
+      sumOfLogs += log;
+      sumOfSquaredLogs += log * log;
     }
-    windowLogMean = logs / n;
-    double deviation = Math.sqrt(Math.max(0, squares / n - windowLogMean * windowLogMean));
+    windowLogMean = sumOfLogs / n;
+    double deviation = Math.sqrt(Math.max(0, sumOfSquaredLogs / n - windowLogMean * windowLogMean));
     unitChangeThreshold =
-        Math.max(MIN_UNIT_CHANGE, UNIT_CHANGE_ERRORS * deviation / Math.sqrt(2 * RECENT - 1));
+        Math.max(MIN_UNIT_CHANGE, UNIT_CHANGE_ERRORS * deviation / Math.sqrt(2 * RECENT_HINTS - 1));
     baseCost = BASE_SHARE * sum / n;
-    scale = (1 - BASE_SHARE) * sum / powers;
+    scale = (1 - BASE_SHARE) * sum / sumOfPowers;
   }
 
   private void sumCosts(int n) {
@@ -178,7 +185,12 @@
     listener.costsRescaled(factor);
   }
 
-  /** Learns from the latency, in ticks, of an attempt that found its backend idle. */
+  /**
+   * Fits the exponent to the latency of an attempt.
+   *
+   * @param hint the request's hint, above 0
+   * @param latency latency in ticks; this proxy must have had nothing else in flight at the backend
+   */
   void observeLatency(int hint, long latency) {
     double x = Math.log(hint);
     double y = Math.log(Math.max(1, latency));
@@ -215,7 +227,7 @@
     return -Arrays.binarySearch(sortedHints, value) - 1;
   }
 
-  /** The summed cost of the window's smallest hints, of this count. */
+  /** The summed cost of the given number of smallest hints in the window. */
   public double costOfSmallest(int count) {
     return cumulativeCosts[count];
   }
--- a/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
+++ b/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
@@ -10,8 +10,8 @@
 /** Requests with and without cost hints, and changes of the hints' unit. */
 class CostHintsTest {
   /**
-   * Without hints a random ready backend gets each request, long latencies alone reject nothing,
-   * and a new backend is used.
+   * Without hints each request goes to a random ready backend, long latencies alone cause no
+   * rejections, and a new backend is used.
    */
   @Test
   void withoutHintsBackendsAreChosenAtRandom() throws IOException {
@@ -29,8 +29,8 @@
     runtime.quiet = false;
     int[] attemptsByBackend = new int[4];
     runtime.attemptBackends.forEach(backend -> attemptsByBackend[backend]++);
-    runtime.say("of 120: " + Arrays.toString(attemptsByBackend));
-    runtime.matches("no-hints");
+    runtime.recordLine("of 120: " + Arrays.toString(attemptsByBackend));
+    runtime.assertMatches("no-hints");
   }
 
   /** Sends requests one by one, 20 ms each, and records the number of attempts. */
@@ -47,13 +47,13 @@
       }
     }
     runtime.quiet = false;
-    runtime.say(
+    runtime.recordLine(
         label + ": " + (runtime.callbacks.size() - attemptsBefore) + " of " + requests + " sent");
   }
 
   /**
-   * Incident, idle backends were refused for 4 s after a release of the clients: hints begin, end,
-   * and begin again in thousands.
+   * Guards against rejecting requests while backends are idle, which lasted for 4 s after a release
+   * of the clients: hints begin, end, and begin again a thousand times as large.
    */
   @Test
   void hintsBeginEndAndChangeTheirUnit() throws IOException {
@@ -65,17 +65,18 @@
       recordAttempts(runtime, "without again", 50, 0);
       recordAttempts(runtime, "hints of 20,000 ms", 100, 200_000);
       recordAttempts(runtime, "hints of 0.2 ms", 100, 2);
-      recorder.say("one of " + proxyCount + " proxies\n" + runtime.trace);
+      recorder.recordLine("one of " + proxyCount + " proxies\n" + runtime.trace);
     }
-    recorder.matches("hints-begin");
+    recorder.assertMatches("hints-begin");
   }
 
   /**
-   * Growing overload: a heavy request that its clients retry repeatedly does not change the unit of
-   * hints; new requests with such hints do.
+   * Guards against growing overload through a wrong change of unit: a heavy request that its
+   * clients retry repeatedly does not count as a change of the hints' unit; new requests with such
+   * hints do.
    */
   @Test
-  void retriesOfAHeavyRequestAreNoNewUnit() throws IOException {
+  void retriesOfAHeavyRequestAreNoChangeOfUnit() throws IOException {
     RecordingRuntime runtime = RecordingRuntime.idempotent(3, false);
     runtime.serveOneByOne(5, COSTS);
     for (int i = 0; i < 40; i++) {
@@ -83,12 +84,12 @@
       runtime.arriveAsRetry("heavy", 72_000);
       runtime.quiet = false;
     }
-    runtime.say("forty retries of a heavy req");
+    runtime.recordLine("forty retries of a heavy req");
     for (int i = 0; i < 10; i++) {
       runtime.quiet = i < 5;
       runtime.arrive("r" + i, 1000 * COSTS[i % COSTS.length]);
       runtime.quiet = false;
     }
-    runtime.matches("retries");
+    runtime.assertMatches("retries");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/EndpointListTest.java
+++ b/decisions/src/test/java/wheattrack/policy/EndpointListTest.java
@@ -12,7 +12,8 @@
 /** How changes of the endpoint list are applied, and how it is polled. */
 class EndpointListTest {
   /**
-   * Backends that drain, were removed or are only on a stale list after a restart get no attempt.
+   * Backends that drain or were removed get no attempt. After a restart with a cached list, failed
+   * polls are repeated until a list is received.
    */
   @Test
   void drainingAndRemovedBackendsGetNoAttempt() throws IOException {
@@ -24,7 +25,7 @@
     runtime.endAttempt(0, AttemptOutcome.DONE);
     runtime.updateBackend(2, false, Long.MIN_VALUE / 2);
     runtime.arrive("b", 0);
-    runtime.say("restarted with the saved list");
+    runtime.recordLine("restarted with the saved list");
     RecordingRuntime restarted =
         RecordingRuntime.create(
             1,
@@ -37,13 +38,13 @@
     restarted.advance(2 * SECOND);
     restarted.loadBalancer.endpointListUpdated(false);
     restarted.advance(20 * SECOND);
-    runtime.say(restarted.trace.toString());
-    runtime.matches("list");
+    runtime.recordLine(restarted.trace.toString());
+    runtime.assertMatches("list");
   }
 
   /**
-   * Hundreds of proxies restart together and discovery rejects each poll: polls are spread over
-   * time and become rarer.
+   * Guards against hundreds of proxies that restart together overloading discovery: while each poll
+   * is rejected, polls are spread over time and become rarer.
    */
   @Test
   void pollsOfManyProxiesSpreadAndBecomeRarer() throws IOException {
@@ -67,7 +68,7 @@
       }
     }
     RecordingRuntime recorder = new RecordingRuntime();
-    recorder.say("calls of 300 proxies by second: " + Arrays.toString(pollsBySecond));
-    recorder.matches("list-many");
+    recorder.recordLine("calls of 300 proxies by second: " + Arrays.toString(pollsBySecond));
+    recorder.assertMatches("list-many");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
@@ -14,8 +14,8 @@
 /** Which backends are avoided or ejected, and when they are reinstated. */
 class OutlierDetectionTest {
   /**
-   * Backends that answer errors at once look idle, and once got the requests that busy ones had no
-   * capacity for.
+   * Guards against sending requests that busy backends have no capacity for to a backend that
+   * answers errors immediately, and therefore looks idle.
    */
   @Test
   void backendWithFastErrorsIsAvoided() throws IOException {
@@ -52,17 +52,18 @@
           attempt++;
         }
       }
-      recorder.say(idempotency + ": " + Arrays.toString(attemptsByBackend));
+      recorder.recordLine(idempotency + ": " + Arrays.toString(attemptsByBackend));
     }
-    recorder.matches("ailing");
+    recorder.assertMatches("ailing");
   }
 
   /**
-   * Incidents amman quiet, backends wrongly ejected, and repas big-1, hung backends found late:
-   * silence ejects, an answer reinstates.
+   * Guards against ejecting working backends, seen on the test day amman quiet, and against
+   * detecting hung backends late, seen on the test day repas big-1: a backend is ejected when it
+   * does not answer for too long, and reinstated at its next answer.
    */
   @Test
-  void silenceEjectsAndAnAnswerReinstates() throws IOException {
+  void missingAnswersEjectAndAnAnswerReinstates() throws IOException {
     for (boolean mayHedge : new boolean[] {true, false}) {
       RecordingRuntime runtime = RecordingRuntime.idempotent(3, mayHedge);
       runtime.serveOneByOne(2, COSTS);
@@ -80,13 +81,13 @@
       runtime.advance(SECOND);
       runtime.arrive("trial", 10);
       runtime.endAttempt(AttemptOutcome.DONE);
-      runtime.matches("hung-" + (mayHedge ? "copies" : "moves"));
+      runtime.assertMatches("hung-" + (mayHedge ? "copies" : "moves"));
     }
   }
 
   /**
-   * Incident ibf8546, outliers forgotten between two attempts: where attempts are rare, a slow
-   * backend stays known as such.
+   * Guards against forgetting between two attempts that a backend is slow, recorded as ibf8546:
+   * where attempts are rare, the measurements of a backend decay more slowly.
    */
   @Test
   void slowBackendStaysKnownBetweenRareAttempts() throws IOException {
@@ -100,14 +101,15 @@
     }
     runtime.quiet = false;
     for (int backend = 0; backend < 4; backend++) {
-      runtime.say(
+      runtime.recordLine(
           10 * backend + 10 + ": " + Collections.frequency(runtime.attemptBackends, backend));
     }
-    runtime.matches("slow-rare");
+    runtime.assertMatches("slow-rare");
   }
 
   /**
-   * Service days: backends that gave up on a request after a while were ejected as if unreachable.
+   * Guards against ejecting a backend as unreachable when it rejects a request after a wait, seen
+   * on the service test days.
    */
   @Test
   void rejectionAfterAWaitDoesNotEject() throws IOException {
@@ -119,6 +121,6 @@
       runtime.endAttempt(AttemptOutcome.FULL);
       runtime.endAttempt(AttemptOutcome.DONE);
     }
-    runtime.matches("gave-up");
+    runtime.assertMatches("gave-up");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/RetryTest.java
+++ b/decisions/src/test/java/wheattrack/policy/RetryTest.java
@@ -28,10 +28,10 @@
                 false);
         runtime.arrive("pay", 100);
         runtime.endAttempt(outcome);
-        recorder.say(outcome + ":\n" + runtime.trace);
+        recorder.recordLine(outcome + ":\n" + runtime.trace);
       }
     }
-    recorder.matches("non-replayable");
+    recorder.assertMatches("non-replayable");
   }
 
   /**
@@ -52,16 +52,17 @@
         runtime.arrive("mark", 100);
         runtime.advance(wait);
         runtime.endAttempt(AttemptOutcome.RESET);
-        recorder.say(scope + " after " + wait + ":\n" + runtime.trace);
+        recorder.recordLine(scope + " after " + wait + ":\n" + runtime.trace);
       }
     }
-    recorder.matches("uniqued");
+    recorder.assertMatches("uniqued");
   }
 
   /**
-   * Incident repas, late work wasted: a request past its objective that no longer counts is
-   * cancelled and rejected at once. But incident amman-later rough-2, the same work done twice:
-   * only if the Retry-After outlasts its client.
+   * Guards against wasting work on late answers, seen on the test day repas: a request past its
+   * objective whose answer has no value any more is cancelled and rejected. It also guards against
+   * doing the same work twice, seen on the test day amman-later rough-2: this is done only if the
+   * Retry-After outlasts the client's timeout.
    */
   @Test
   void requestPastItsObjectiveIsCancelledAndRejected() throws IOException {
@@ -76,14 +77,15 @@
       runtime.arrive("next", 4000);
       runtime.endAttempt(0, AttemptOutcome.CANCELLED);
       runtime.arrive("queued behind the ghost", 100);
-      recorder.say("waits up to " + maxRetryAfter / 10 + " ms:\n" + runtime.trace);
+      recorder.recordLine("waits up to " + maxRetryAfter / 10 + " ms:\n" + runtime.trace);
     }
-    recorder.matches("late");
+    recorder.assertMatches("late");
   }
 
   /**
-   * Incident repas-later big-1, requests lost in queues that no proxy sees: a request that is the
-   * only one at its backend past its share of the objective is hedged.
+   * Guards against losing requests in queues that no proxy knows of, seen on the test day
+   * repas-later big-1: a request that is its proxy's only one at the backend is hedged once it has
+   * taken a set fraction of its objective.
    */
   @Test
   void lateRequestIsHedged() throws IOException {
@@ -94,8 +96,8 @@
       runtime.arrive("alone", 40);
       runtime.advance(2500);
       runtime.endAttempt(AttemptOutcome.DONE);
-      recorder.say("one of " + proxyCount + " proxies, 250 ms later:\n" + runtime.trace);
+      recorder.recordLine("one of " + proxyCount + " proxies, 250 ms later:\n" + runtime.trace);
     }
-    recorder.matches("second-copy");
+    recorder.assertMatches("second-copy");
   }
 }
