--- a/decisions/src/main/java/wheattrack/api/AttemptCallback.java
+++ b/decisions/src/main/java/wheattrack/api/AttemptCallback.java
@@ -4,11 +4,11 @@
 @FunctionalInterface
 public interface AttemptCallback {
   /**
-   * The attempt has ended.
+   * Called when the attempt has ended.
    *
    * @param outcome how it ended
-   * @param latency time from sending to the end, in tenths of a millisecond
-   * @param requestEnded whether the request got its final answer with this outcome or before it
+   * @param latency time from sending the attempt to its end, in tenths of a millisecond
+   * @param requestEnded whether the request had its final answer with this outcome or before it
    */
   void ended(AttemptOutcome outcome, long latency, boolean requestEnded);
 }
--- a/decisions/src/main/java/wheattrack/api/AttemptOutcome.java
+++ b/decisions/src/main/java/wheattrack/api/AttemptOutcome.java
@@ -1,22 +1,22 @@
 package wheattrack.api;
 
-/** How an attempt ended, and whether that proves that the request did not run. */
+/** How an attempt ended, and whether that outcome proves that the request did not run. */
 public enum AttemptOutcome {
-  /** Answered. */
+  /** The backend answered, other than with a server error. */
   DONE(false),
-  /** Answered with a server error. */
+  /** The backend answered with a server error. */
   ERROR(false),
-  /** Rejected by the backend before it ran. */
+  /** The backend rejected the attempt before it ran. */
   FULL(true),
-  /** No answer in time. */
+  /** No answer came within the attempt's timeout. */
   TIMEOUT(false),
   /** No connection could be opened. */
   NO_CONNECT(true),
-  /** The connection broke under the attempt. */
+  /** The connection broke while the attempt was in flight. */
   RESET(false),
   /** Cancelled by the balancer. */
   CANCELLED(false),
-  /** Did not run, for a reason that is unrelated to the backend. */
+  /** The attempt did not run, for a reason that is unrelated to the backend. */
   DISCARDED(true);
 
   private final boolean neverRan;
@@ -25,7 +25,7 @@
     this.neverRan = neverRan;
   }
 
-  /** Whether the backend did not accept the attempt. */
+  /** Whether the backend rejected the attempt, or no connection to it could be opened. */
   public boolean isRejection() {
     return this == FULL || this == NO_CONNECT;
   }
--- a/decisions/src/main/java/wheattrack/api/DeduplicationScope.java
+++ b/decisions/src/main/java/wheattrack/api/DeduplicationScope.java
@@ -1,6 +1,6 @@
 package wheattrack.api;
 
-/** The backends that share one memory of idempotency keys. */
+/** Which backends share one store of idempotency keys, and so recognize each other's. */
 public enum DeduplicationScope {
   /** All backends. */
   ALL,
--- a/decisions/src/main/java/wheattrack/api/Idempotency.java
+++ b/decisions/src/main/java/wheattrack/api/Idempotency.java
@@ -2,10 +2,13 @@
 
 /** Whether a request may run more than once. */
 public enum Idempotency {
-  /** May run any number of times. */
+  /** A request may run any number of times. */
   IDEMPOTENT,
-  /** May be repeated where and while its idempotency key is remembered. */
+  /**
+   * A request may be repeated on backends that recognize its idempotency key, for as long as they
+   * keep the key.
+   */
   IDEMPOTENT_WITH_KEY,
-  /** Must never run twice. */
+  /** A request must never run twice. */
   NON_IDEMPOTENT
 }
--- a/decisions/src/main/java/wheattrack/api/PendingRequest.java
+++ b/decisions/src/main/java/wheattrack/api/PendingRequest.java
@@ -68,10 +68,11 @@
   }
 
   /**
-   * Restarts the request's time when the last byte of a long body has been received.
+   * Sets a new time of arrival when the last byte of a long body has been received, and moves the
+   * deadline by the same amount.
    *
    * @param now the new time of arrival
-   * @param latestDeadline bound on the new deadline
+   * @param latestDeadline upper bound of the new deadline
    */
   public void restartClock(long now, long latestDeadline) {
     deadline = Math.min(deadline + now - arrivedAt, latestDeadline);
--- a/decisions/src/main/java/wheattrack/api/PolicyRuntime.java
+++ b/decisions/src/main/java/wheattrack/api/PolicyRuntime.java
@@ -3,11 +3,11 @@
 /**
  * The services that a load-balancing policy runs on: a clock, timers, sending of attempts and
  * probes, final answers, discovery and event reports. Each adapter of the policy implements it.
- * Backends are identified by the dense index of the endpoint list; times are in tenths of a
- * millisecond. The policy calls it on the thread on which it was called itself.
+ * Backends are identified by their {@linkplain EndpointUpdate#index() index}; times are in tenths
+ * of a millisecond. The policy calls it on the thread on which it was called itself.
  */
 public interface PolicyRuntime {
-  /** The current time; it never goes back and stands still within a call into the policy. */
+  /** The current time; it never decreases, and does not change during a call into the policy. */
   long now();
 
   /**
@@ -21,29 +21,30 @@
   void cancelAttempt(PendingRequest request, int attempt);
 
   /**
-   * Final answer: the request was rejected, and a retry by the client does no harm.
+   * Sends the final answer that the request was rejected: a retry by the client has no second
+   * effect.
    *
-   * @param retryAfter advice to the client how long to wait; 0 gives none
+   * @param retryAfter how long the client is advised to wait before a retry; 0: no advice
    */
   void reject(PendingRequest request, long retryAfter);
 
-  /** Final answer: the request has failed, with no promise about its effects. */
+  /** Sends the final answer that the request failed; it may have had effects. */
   void fail(PendingRequest request);
 
   /**
    * Sends a load probe to a backend.
    *
-   * @param callback receives the result once, in a later step
+   * @param callback receives the result once, after this call into the policy has returned
    */
   void probeLoad(int backend, ProbeCallback callback);
 
   /** Closes the idle connections to a backend. */
   void closeIdleConnections(int backend);
 
-  /** Runs a task once after a delay, as a step of its own. */
+  /** Runs a task once after a delay, in a separate call into the policy. */
   void schedule(long delay, Runnable task);
 
-  /** Opens a watch on the endpoint list: discovery sends the list and all later changes. */
+  /** Opens a watch on the endpoint list: discovery sends the list, and then each change. */
   void watchEndpoints();
 
   /** Reports an event to the operators, normally as a line of the log. */
--- a/decisions/src/main/java/wheattrack/api/PolicySettings.java
+++ b/decisions/src/main/java/wheattrack/api/PolicySettings.java
@@ -4,10 +4,10 @@
  * All settings that the policy acts on. Times are in tenths of a millisecond.
  *
  * @param attempts limits on the attempts of a request
- * @param zones this proxy's zone and the price of leaving it
+ * @param zones this proxy's zone, and the price of sending requests to other zones
  * @param slowStart what may be sent to backends that have just started
  * @param loadReports whether backends report their load
- * @param traffic the traffic of all proxies, and prices of connections
+ * @param traffic the total traffic of all proxies, and the prices of connections
  */
 public record PolicySettings(
     AttemptLimits attempts,
@@ -28,7 +28,7 @@
   /**
    * Limits on the attempts of a request.
    *
-   * @param maxAttempts attempts a request may have in all
+   * @param maxAttempts the most attempts that a request may have, the first included
    * @param mayCancel whether attempts in flight may be cancelled
    * @param mayHedge whether a second attempt may be sent while the first is in flight
    * @param maxRetryAfter the longest wait that a rejected client may be advised; 0: no advice
@@ -37,43 +37,46 @@
       int maxAttempts, boolean mayCancel, boolean mayHedge, long maxRetryAfter) {}
 
   /**
-   * Zones.
+   * This proxy's zone, and the price of sending requests to other zones.
    *
-   * @param own this proxy's zone
-   * @param crossingPrice price of a request sent to another zone, against its own worth
+   * @param own the index of this proxy's zone
+   * @param crossingPrice price of sending one request to another zone, relative to the value of a
+   *     mean request
    */
   public record Zones(int own, double crossingPrice) {}
 
   /**
    * What may be sent to backends that have just started.
    *
-   * @param initialCapacity share of its capacity that a backend has at its start
-   * @param warmUpTime how long it takes to have all of it
-   * @param overloadMultiple how many times its present capacity a backend bears
-   * @param overloadTime for how long it bears that
+   * @param initialCapacity share of its full capacity that a backend has when it starts
+   * @param warmUpTime how long it takes to reach its full capacity
+   * @param overloadMultiple the load that a backend withstands for a limited time, as a multiple of
+   *     its present capacity
+   * @param overloadTime for how long it withstands that load
    */
   public record SlowStartLimits(
       double initialCapacity, long warmUpTime, double overloadMultiple, long overloadTime) {}
 
   /**
-   * Load reports.
+   * Whether and how backends report their load.
    *
-   * @param expected whether backends report the load that they hold
+   * @param expected whether backends report their load
    * @param probed whether they do so only when probed
    */
   public record LoadReports(boolean expected, boolean probed) {
-    /** Whether a request's first attempt waits for load probes. */
-    public boolean areProbedFor() {
+    /** Whether backends must be probed for their load before a request's first attempt. */
+    public boolean mustBeProbed() {
       return expected && probed;
     }
   }
 
   /**
-   * Traffic and connections.
+   * The total traffic, and the prices of connections, of which only the ratio counts.
    *
-   * @param totalQuota requests a second of all proxies within all tenants' quotas; 0: not known
-   * @param connectionPrice price of an open connection
-   * @param handshakePrice price of opening one
+   * @param totalQuota sum of all tenants' quotas, in requests a second over all proxies; 0: not
+   *     known
+   * @param connectionPrice price of keeping connections open
+   * @param handshakePrice price of opening one connection
    */
   public record Traffic(double totalQuota, double connectionPrice, double handshakePrice) {}
 
--- a/decisions/src/main/java/wheattrack/api/RequestClass.java
+++ b/decisions/src/main/java/wheattrack/api/RequestClass.java
@@ -4,13 +4,13 @@
  * The settings of one class of requests. Times are in tenths of a millisecond.
  *
  * @param index position of the class in the settings
- * @param latencyObjective time within which an answer earns its full weight
+ * @param latencyObjective time from arrival within which an answer has its full weight
  * @param clientTimeout how long a client waits for its answer
  * @param idempotency whether a request may run more than once
  * @param deduplicationScope which backends recognize a repeated idempotency key
- * @param deduplicationWindow how long they recognize it after the first attempt
- * @param priorityWeight weight of an answer within the objective, per mean request cost
- * @param lateWeight weight of an answer after the objective
+ * @param deduplicationWindow how long they recognize it after the first attempt was sent
+ * @param priorityWeight weight of an answer within the objective, for a request of mean cost
+ * @param lateWeight weight of an answer after the objective, for a request of mean cost
  * @param streaming whether answers are streamed
  */
 public record RequestClass(
@@ -34,7 +34,10 @@
     return idempotency == Idempotency.NON_IDEMPOTENT;
   }
 
-  /** Whether a client may retry a request that may have run; its retry can reach any backend. */
+  /**
+   * Whether a client may retry a request that may have run. Its retry can reach any backend, so a
+   * narrower deduplication scope does not suffice.
+   */
   public boolean isClientRetrySafe() {
     return idempotency == Idempotency.IDEMPOTENT
         || (idempotency == Idempotency.IDEMPOTENT_WITH_KEY
@@ -44,9 +47,9 @@
   /**
    * Whether a repeat of a request that may have run has no second effect.
    *
-   * @param elapsed time since the earlier attempt was sent, in ticks
-   * @param sameZone whether the repeat goes to the earlier attempt's zone
-   * @param sameCell whether it goes to the earlier attempt's cell
+   * @param elapsed time since the earlier attempt was sent, in tenths of a millisecond
+   * @param sameZone whether the repeat goes to the same zone as the earlier attempt
+   * @param sameCell whether it goes to the same cell as the earlier attempt
    */
   public boolean isRepeatSafe(long elapsed, boolean sameZone, boolean sameCell) {
     if (idempotency != Idempotency.IDEMPOTENT_WITH_KEY) {
--- a/decisions/src/main/java/wheattrack/api/RequestHandle.java
+++ b/decisions/src/main/java/wheattrack/api/RequestHandle.java
@@ -3,11 +3,11 @@
 /** The policy's handle of an open request, to which the runtime reports the request's events. */
 public interface RequestHandle {
   /**
-   * The answer of this attempt has begun to stream, or the request's body cannot be sent a second
-   * time: no further attempt is possible.
+   * Called when no further attempt is possible: the answer of this attempt has begun to stream, or
+   * the request's body cannot be sent a second time.
    */
   void streamingStarted(int attempt);
 
-  /** The client has disconnected: the request needs no answer any more. */
+  /** Called when the client has disconnected: the request needs no answer any more. */
   void clientDisconnected();
 }
--- a/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
+++ b/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
@@ -50,7 +50,7 @@
 
   /** Sends the first attempt, after load probes to the first backends of its interval if in use. */
   void start() {
-    int wanted = state.settings().loadReports().areProbedFor() ? LOAD_PROBES : 0;
+    int wanted = state.settings().loadReports().mustBeProbed() ? LOAD_PROBES : 0;
     List<BackendState> probed = new ArrayList<>(wanted);
     for (int k = 0; k < partition.size() && probed.size() < wanted; k++) {
       BackendState backend = partition.at(firstPlace() + k);
