--- a/decisions/src/main/java/wheattrack/discovery/DiscoveryBackoff.java
+++ b/decisions/src/main/java/wheattrack/discovery/DiscoveryBackoff.java
@@ -8,41 +8,62 @@
  * at the moment discovery recovers. Not thread-safe.
  */
 public final class DiscoveryBackoff {
+  /** The backoff after an answer without a list is the poll interval divided by this. */
+  private static final int ANSWERED_DIVISOR = 100;
+
+  /** The first backoff after a call without an answer is the poll interval divided by this. */
+  private static final int FIRST_DIVISOR = 40;
+
+  /** The longest backoff is the poll interval divided by this. */
+  private static final int LONGEST_DIVISOR = 4;
+
+  /** Factor from one backoff to the next while calls remain without an answer. */
+  private static final int GROWTH = 2;
+
+  /** Lower bound of the random factor of a delay; the upper bound is greater by 1. */
+  private static final double MIN_JITTER = 0.5;
+
   private final PolicyRuntime runtime;
   private final SeededRandom random;
   private long pollInterval;
   private long backoff;
   private boolean watching;
 
-  /** Creates a backoff in its initial state. */
+  /** Creates a backoff that has seen no failed call. */
   public DiscoveryBackoff(PolicyRuntime runtime, SeededRandom random) {
     this.runtime = runtime;
     this.random = random;
   }
 
-  /** Sets the shortest interval between calls to discovery, in ticks. */
+  /** Sets the interval, in ticks, from which all backoffs are derived. */
   public void setPollInterval(long interval) {
     pollInterval = interval;
   }
 
-  /** A list was received; {@code cached} says that it is the last known one, not an answer. */
+  /**
+   * Resets the backoff, as a list was received.
+   *
+   * @param cached whether it is the cached list, and not an answer from discovery
+   */
   public void onList(boolean cached) {
     watching |= !cached;
     backoff = 0;
   }
 
   /**
-   * A call failed: schedules the next one.
+   * Schedules the next call after a failed one.
    *
-   * @param answered whether discovery answered, though not with a list
+   * @param answered whether discovery answered, but without a list
    */
   public void onFailure(boolean answered) {
     watching = false;
     backoff =
         answered
-            ? pollInterval / 100
-            : Math.min(pollInterval / 4, Math.max(pollInterval / 40, 2 * backoff));
-    long delay = (long) (backoff * (0.5 + random.draw()));
+            ? pollInterval / ANSWERED_DIVISOR
+            : Math.min(
+                pollInterval / LONGEST_DIVISOR,
+                Math.max(pollInterval / FIRST_DIVISOR, GROWTH * backoff));
+    long delay = (long) (backoff * (MIN_JITTER + random.draw()));
     runtime.schedule(delay, this::watchAgain);
   }
 
--- a/decisions/src/main/java/wheattrack/discovery/package-info.java
+++ b/decisions/src/main/java/wheattrack/discovery/package-info.java
@@ -1,2 +1,2 @@
-/** When a failed call to the discovery service is repeated: backoff with jitter. */
+/** Backoff with jitter between failed calls to the discovery service. */
 package wheattrack.discovery;
--- a/decisions/src/main/java/wheattrack/statistics/LatenessCounters.java
+++ b/decisions/src/main/java/wheattrack/statistics/LatenessCounters.java
@@ -1,7 +1,13 @@
 package wheattrack.statistics;
 
-/** Decaying counts of requests and of how many missed their latency objective. Not thread-safe. */
+/**
+ * Decaying counts of requests and of how many missed their latency objective, and decaying sums of
+ * the cost and the duration of attempts. Not thread-safe.
+ */
 public final class LatenessCounters {
+  /** Added to the requests accepted, so that a share of very few of them stays small. */
+  private static final int EXTRA_REQUESTS = 2;
+
   private double arrived;
   private double missed;
   private double sent;
@@ -9,16 +15,16 @@
   private double costDone;
   private double attemptTime;
 
-  /** A request has been accepted. */
+  /** Counts a request that was accepted. */
   public void countArrival() {
     arrived++;
   }
 
   /**
-   * A request has ended.
+   * Counts a request that has ended.
    *
-   * @param wasSent whether it had any attempt
-   * @param inTime whether it was answered within its objective
+   * @param wasSent whether any attempt of it was sent
+   * @param inTime whether it was answered within its latency objective
    */
   public void countEnd(boolean wasSent, boolean inTime) {
     int late = inTime ? 0 : 1;
@@ -27,12 +33,12 @@
     sentAndMissed += wasSent ? late : 0;
   }
 
-  /** An attempt has ended after this time, in ticks. */
+  /** Adds the duration of an attempt that has ended, in ticks. */
   public void addAttemptTime(long time) {
     attemptTime += time;
   }
 
-  /** An attempt of this cost has been answered. */
+  /** Adds the cost of an attempt that was answered. */
   public void addCostDone(double cost) {
     costDone += cost;
   }
@@ -42,14 +48,19 @@
     return arrived;
   }
 
-  /** Share of all requests that missed their objective; 0 where there are none. */
+  /** Requests that missed their objective, as a share of all accepted; 0 if none was accepted. */
   public double missedShare() {
     return arrived > 0 ? missed / arrived : 0;
   }
 
-  /** Requests sent and late, beyond a tolerated share of those sent, as a share of all accepted. */
+  /**
+   * The number of requests that were sent and missed their objective, less the tolerated number, as
+   * a share of all accepted; negative if fewer are late than tolerated.
+   *
+   * @param toleratedShare the share of the requests sent that may be late
+   */
   public double excessLateShare(double toleratedShare) {
-    return (sentAndMissed - toleratedShare * sent) / (arrived + 2);
+    return (sentAndMissed - toleratedShare * sent) / (arrived + EXTRA_REQUESTS);
   }
 
   /** Decayed cost of answered attempts. */
@@ -62,18 +73,18 @@
     return attemptTime;
   }
 
-  /** The unit of costs has changed. */
+  /** Multiplies the summed cost by a factor, as the unit of costs has changed. */
   public void scaleCosts(double factor) {
     costDone *= factor;
   }
 
-  /** Multiplies all sums by a decay factor. */
-  public void decay(double keep) {
-    arrived *= keep;
-    missed *= keep;
-    sent *= keep;
-    sentAndMissed *= keep;
-    costDone *= keep;
-    attemptTime *= keep;
+  /** Multiplies all counts and sums by a decay factor. */
+  public void decay(double factor) {
+    arrived *= factor;
+    missed *= factor;
+    sent *= factor;
+    sentAndMissed *= factor;
+    costDone *= factor;
+    attemptTime *= factor;
   }
 }
--- a/decisions/src/main/java/wheattrack/statistics/SeededRandom.java
+++ b/decisions/src/main/java/wheattrack/statistics/SeededRandom.java
@@ -7,7 +7,8 @@
  * sequence in every version of the program. Not thread-safe.
  */
 public final class SeededRandom {
-  private static final double RANGE = 4294967296.0;
+  /** The number of values of a CRC-32: 2^32. */
+  private static final double CRC_VALUES = 4294967296.0;
 
   private final CRC32 crc = new CRC32();
   private final byte[] seedAndCounter = new byte[2 * Long.BYTES];
@@ -23,7 +24,7 @@
     put(++draws, Long.BYTES);
     crc.reset();
     crc.update(seedAndCounter, 0, seedAndCounter.length);
-    return crc.getValue() / RANGE;
+    return crc.getValue() / CRC_VALUES;
   }
 
   private void put(long value, int offset) {
