--- a/proxy/src/main/java/wheattrack/simulator/ListedBackend.java
+++ b/proxy/src/main/java/wheattrack/simulator/ListedBackend.java
@@ -27,7 +27,7 @@
     return !probes.isEmpty();
   }
 
-  /** Removes the oldest load probe, as it has ended, and returns its callback. */
+  /** Removes the oldest load probe in flight, which has ended, and returns its callback. */
   ProbeCallback removeOldestProbe() {
     return probes.removeFirst();
   }
--- a/proxy/src/main/java/wheattrack/simulator/SimulatedRequest.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatedRequest.java
@@ -7,6 +7,7 @@
 
 /** One request of the simulator: its id, its attempts and the policy's handle to it. */
 final class SimulatedRequest {
+  /** Initial capacity of the list of attempts. */
   private static final int EXPECTED_ATTEMPTS = 2;
 
   private record Attempt(ListedBackend backend, AttemptCallback callback) {}
@@ -45,7 +46,7 @@
     isAnswered = true;
   }
 
-  /** Whether nothing more can happen to it. */
+  /** Whether it is answered and has no attempt in flight, so that no event can concern it. */
   boolean isFinished() {
     return isAnswered && attemptsInFlight == 0;
   }
@@ -64,7 +65,7 @@
         && attempts.get(attemptNumber) != null;
   }
 
-  /** Removes an attempt in flight, as it has ended, and returns its callback. */
+  /** Removes an attempt in flight, which has ended, and returns its callback. */
   AttemptCallback removeAttempt(int attemptNumber) {
     Attempt ended = attempts.set(attemptNumber, null);
     ended.backend().attemptEnded();
--- a/proxy/src/main/java/wheattrack/simulator/SimulatedRuntime.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatedRuntime.java
@@ -38,7 +38,7 @@
     timers.clear();
   }
 
-  /** The backends by id and index. */
+  /** The backends, which can be found by id and by index. */
   BackendIndex<Long, ListedBackend> backends() {
     return backends;
   }
@@ -61,14 +61,14 @@
     removeIfFinished(request);
   }
 
-  /** Removes a request if no event can concern it any more. */
+  /** Removes a request if it has its final answer and no attempt in flight. */
   void removeIfFinished(SimulatedRequest request) {
     if (request.isFinished()) {
       requests.remove(request.id());
     }
   }
 
-  /** Removes a timer and returns its task; null if there is none. */
+  /** Removes a timer and returns its task; null if there is no such timer. */
   Runnable removeTimer(long timerId) {
     return timers.remove(timerId);
   }
--- a/proxy/src/main/java/wheattrack/simulator/SimulatorAdapter.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatorAdapter.java
@@ -16,18 +16,20 @@
 import wheattrack.simulator.SimulatorProtocol.Field;
 
 /**
- * Connects the policy to the operators' simulator: reads batches of events, hands each event to its
- * proxy and writes the messages that answer it.
+ * Connects the policy to the operators' simulator: reads batches of events, passes each event to
+ * its proxy and writes the messages that answer it. Not thread-safe.
  */
 public final class SimulatorAdapter {
   private final JsonParser parser;
   private final JsonGenerator generator;
-  private final MessageFields event = new MessageFields();
+  private final EventFields event = new EventFields();
   private final Map<Long, SimulatedProxy> proxies = new HashMap<>();
+
+  /** The lists of backend records that were received last, by their number. */
   private final List<?>[] recordLists = new List<?>[SimulatorProtocol.MAX_RECORD_LISTS];
 
   /**
-   * Creates an adapter; it does not close the streams.
+   * Creates an adapter, which does not close the streams.
    *
    * @throws IOException if the input cannot be read
    */
@@ -39,7 +41,7 @@
   }
 
   /**
-   * Runs until the input ends.
+   * Handles batches until the input ends.
    *
    * @throws InvalidInputException if the input does not follow the wire format; the message names
    *     the line
@@ -64,7 +66,7 @@
     return new InvalidInputException("line " + line + ": " + message);
   }
 
-  /** The parser's message without its advice to programmers, which is in parentheses. */
+  /** The first line of the parser's message, without its advice to programmers in parentheses. */
   private static String shortMessage(JsonProcessingException malformed) {
     return malformed.getOriginalMessage().split("\n")[0].replaceAll("[ :]*\\(.*", "");
   }
@@ -74,7 +76,8 @@
       String kind = event.text(Field.KIND);
       switch (kind) {
         case SimulatorProtocol.BATCH_START ->
-            throw new InvalidInputException("a batch is not closed");
+            throw new InvalidInputException(
+                "got " + kind + " before the " + SimulatorProtocol.BATCH_END + " of the batch");
         case SimulatorProtocol.BATCH_END -> {
           MessageWriter.writeBatchDone(generator);
           return;
@@ -113,7 +116,8 @@
     }
     List<?> records = recordLists[recordListNumber()];
     if (records == null) {
-      throw MessageFields.missing(Field.RECORD_LIST.wireName());
+      throw new InvalidInputException(
+          Field.RECORD_LIST.wireName() + ": no records were sent under this number");
     }
     return records;
   }
@@ -121,7 +125,12 @@
   private int recordListNumber() throws InvalidInputException {
     long number = event.number(Field.RECORD_LIST);
     if (number < 0 || number >= SimulatorProtocol.MAX_RECORD_LISTS) {
-      throw new InvalidInputException("no such sheet: " + number);
+      throw new InvalidInputException(
+          Field.RECORD_LIST.wireName()
+              + ": expected 0 to "
+              + (SimulatorProtocol.MAX_RECORD_LISTS - 1)
+              + ", got "
+              + number);
     }
     return (int) number;
   }
@@ -133,7 +142,8 @@
     }
     String kind = event.text(Field.KIND);
     if (!kind.equals(SimulatorProtocol.BATCH_START)) {
-      throw new InvalidInputException("a batch opens with " + kind);
+      throw new InvalidInputException(
+          "expected " + SimulatorProtocol.BATCH_START + " at the start of a batch, got " + kind);
     }
     return true;
   }
@@ -145,7 +155,7 @@
       return false;
     }
     if (token != JsonToken.START_OBJECT) {
-      throw new InvalidInputException("not an object");
+      throw new InvalidInputException("expected an event, that is, a JSON object");
     }
     event.read(parser);
     return true;
--- a/proxy/src/main/java/wheattrack/simulator/SimulatorProtocol.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatorProtocol.java
@@ -5,20 +5,21 @@
 import wheattrack.api.AttemptOutcome;
 
 /**
- * The names and codes of the simulator's wire format, under the names that the code uses. Input is
- * a sequence of batches, each from a {@link #BATCH_START} to a {@link #BATCH_END}; every batch is
- * answered by messages and a {@link #BATCH_DONE}. Times on the wire are in microseconds.
+ * The names and status codes of the simulator's wire format. The constants are named by the terms
+ * of this project, which differ from those of the wire. Input is a sequence of batches, each from a
+ * {@link #BATCH_START} to a {@link #BATCH_END}; every batch is answered by messages and a {@link
+ * #BATCH_DONE}. Times on the wire are in microseconds.
  */
 final class SimulatorProtocol {
   /** The field that holds the kind of an event or a message. */
   static final String KIND = "kind";
 
-  // Kinds of events that belong to no proxy.
+  // Kinds of events that are addressed to no proxy.
   static final String BATCH_START = "Turn";
   static final String BATCH_END = "End";
   static final String ENDPOINT_RECORDS = "Sheet";
 
-  // Kinds of events that a proxy receives.
+  // Kinds of events that are addressed to one proxy.
   static final String CONFIGURE = "Configure";
   static final String SHUTDOWN = "Shutdown";
   static final String REQUEST_ARRIVED = "Arrival";
@@ -30,7 +31,7 @@
   static final String GOSSIP = "NeighbourSays";
   static final String ENDPOINT_LIST = "PeersKnown";
 
-  // Kinds of messages that are written.
+  // Kinds of messages that the adapter writes.
   static final String BATCH_DONE = "Yield";
   static final String SEND_ATTEMPT = "Place";
   static final String CANCEL_ATTEMPT = "UndoSend";
@@ -63,7 +64,7 @@
   // Modes of an endpoint list.
   static final String LIST_CHANGES = "D";
   static final String LIST_SNAPSHOT = "F";
-  static final String LIST_CURRENT_SNAPSHOT = "C";
+  static final String LIST_CACHED_SNAPSHOT = "C";
   static final String LIST_FAILED = "X";
 
   // Fields of the record of one backend, and its states.
@@ -76,7 +77,7 @@
   static final String WEIGHT = "weight";
   static final String STARTED_AT = "upSince";
 
-  // The setting that this package reads itself.
+  // The key of the setting that this package reads itself, and its value for a watch.
   static final String DISCOVERY = "discovery";
   static final String DISCOVERY_BY_WATCH = "subscribe";
 
@@ -95,7 +96,7 @@
   /** How many lists of backend records are kept; they are numbered from 0. */
   static final int MAX_RECORD_LISTS = 16;
 
-  /** The scalar fields of events that are read. */
+  /** The scalar fields of events that the adapter reads; others are ignored. */
   enum Field {
     KIND("kind"),
     TIME("simTime"),
@@ -137,7 +138,7 @@
       return wireName;
     }
 
-    /** The field of this name on the wire, or null if none is read. */
+    /** The field of this name on the wire, or null if the adapter does not read it. */
     static Field of(String wireName) {
       return BY_WIRE_NAME.get(wireName);
     }
@@ -160,7 +161,9 @@
       case STATUS_RESET -> AttemptOutcome.RESET;
       case STATUS_CANCELLED -> AttemptOutcome.CANCELLED;
       case STATUS_DISCARDED -> AttemptOutcome.DISCARDED;
-      default -> throw new InvalidInputException("unknown status " + status);
+      default ->
+          throw new InvalidInputException(
+              Field.STATUS.wireName() + ": unknown status of an attempt: " + status);
     };
   }
 }
