--- a/proxy/src/main/java/wheattrack/aio/Alarm.java
+++ b/proxy/src/main/java/wheattrack/aio/Alarm.java
@@ -9,24 +9,24 @@
 final class Alarm {
   private static final long NEVER = Long.MAX_VALUE;
 
-  private final Runnable onTime;
+  private final Runnable callback;
   private final Thread thread = new Thread(this::run, "event-loop-alarm");
 
-  /** When to ring; {@link #NEVER} once it has rung, until a time is set again. */
-  private volatile long time = NEVER;
+  /** When the callback is due; {@link #NEVER} while no time is set. */
+  private volatile long dueTime = NEVER;
 
-  /** Until when the thread sleeps, or an earlier time. */
+  /** The time until which the thread sleeps, or an earlier one; {@link #NEVER} without a limit. */
   private volatile long sleepEnd = NEVER;
 
   private volatile boolean isStopped;
 
   /**
-   * Makes an alarm that has no time set.
+   * Creates an alarm that has no time set.
    *
-   * @param onTime run on the alarm's own thread each time that it rings
+   * @param callback run on the alarm's own thread each time that a set time is reached
    */
-  Alarm(Runnable onTime) {
-    this.onTime = onTime;
+  Alarm(Runnable callback) {
+    this.callback = callback;
     thread.setDaemon(true);
   }
 
@@ -35,9 +35,9 @@
     thread.start();
   }
 
-  /** Rings at this time, once, in place of the time that was set before. */
+  /** Runs the callback once at this time, which replaces the time that was set before. */
   void setTime(long nanoTime) {
-    time = nanoTime;
+    dueTime = nanoTime;
     if (sleepEnd == NEVER || nanoTime - sleepEnd < 0) {
       LockSupport.unpark(thread);
     }
@@ -51,10 +51,10 @@
 
   private void run() {
     while (!isStopped) {
-      long next = time;
+      long next = dueTime;
       sleepEnd = next;
-      if (next != time) {
-        continue; // another time was set, perhaps before the end of this sleep was to be seen
+      if (next != dueTime) {
+        continue; // setTime ran at the same time and may have compared with the old sleepEnd
       }
       if (next == NEVER) {
         LockSupport.park(this);
@@ -64,15 +64,17 @@
       if (wait > 0) {
         LockSupport.parkNanos(this, wait);
       } else {
-        ring(next);
+        fire(next);
       }
     }
   }
 
-  private void ring(long rungFor) {
-    if (time == rungFor) {
-      time = NEVER; // a time that is set between these two lines is set again by the next step
+  private void fire(long reachedTime) {
+    if (dueTime == reachedTime) {
+      // A time that another thread sets between the check and this assignment is lost; the event
+      // loop sets it again after the step that the callback posts.
+      dueTime = NEVER;
     }
-    onTime.run();
+    callback.run();
   }
 }
--- a/proxy/src/main/java/wheattrack/aio/EventLoop.java
+++ b/proxy/src/main/java/wheattrack/aio/EventLoop.java
@@ -22,13 +22,14 @@
  *
  * <p>It is the one thread of an asynchronous channel group: the thread that waits for the system's
  * notifications also reads and writes the sockets and runs the handlers, so that no byte is
- * received while a step runs. A task, timer or completion is one step; what a step defers runs as a
- * further step right after it, never nested in it. Times are ticks of a tenth of a millisecond.
- * Only {@link #execute}, {@link #channelGroup} and {@link #shutdown} may be called from other
- * threads.
+ * received while a step runs. Each task, timer and completion runs as one step; what a step defers
+ * runs as a further step right after it, never nested in it. Times are ticks of a tenth of a
+ * millisecond. Only {@link #execute}, {@link #channelGroup} and {@link #shutdown} may be called
+ * from other threads.
  *
- * <p>Incident: with a channel group that had a thread of its own, that thread filled buffers that
- * this one was looking at, and read requests from connections that this one was closing.
+ * <p>A channel group with a thread of its own would fill receive buffers while a step examines
+ * them, and would read requests from connections that a step is closing, so that these requests
+ * would get no response.
  */
 public final class EventLoop implements Executor {
   private static final Logger LOG = Logger.getLogger("wheattrack");
@@ -38,45 +39,52 @@
 
   private static final long NANOS_PER_MILLISECOND = 1_000_000;
 
-  /** How late the first timer must be for the process to count as having been stalled; in ticks. */
+  /** How late, in ticks, the first timer must be for the process to count as having stalled. */
   private static final long STALL_THRESHOLD = 100;
 
-  /** The longest time for which other steps run before late timers after a stall; in ticks. */
+  /** The longest time, in ticks, for which late timers wait for other steps after a stall. */
   private static final long MAX_CATCH_UP_TIME = 100;
 
   /**
-   * How many rounds of tasks begin before a task runs. The group asks the system for notifications
-   * before each round, and handles some of those that it gets before the round and some after it.
-   * The first round may belong to notifications that were asked for before the task was queued;
-   * those asked for before the second are all handled when the third begins.
+   * A task that the loop's own thread queues runs in the round that begins as the third one after
+   * it. A round is one run of {@link #runRound}, which runs the queued tasks.
+   *
+   * <p>The group asks the system for notifications before each round, and handles some of those
+   * that it gets before the round and some after it. The notifications of the first round may have
+   * been requested before the task was queued; those requested before the second round are all
+   * handled when the third begins.
    */
-  private static final int ROUNDS_BEFORE_TASK = 3;
+  private static final int ROUNDS_UNTIL_TASK = 3;
 
   /**
-   * A task that waits.
+   * A task that the loop's own thread has queued.
    *
-   * @param round the round in which it may run
+   * @param round the number of the first round in which it may run
    */
   private record QueuedTask(long round, Runnable task) {}
 
-  /** Sets the clock of this process wrong by a number of milliseconds, for tests of clock skew. */
+  /**
+   * The system property that sets the clock of this process ahead by a number of milliseconds,
+   * which may be negative; for tests of clock skew.
+   */
   private static final String CLOCK_SKEW_PROPERTY = "wheattrack.skew";
 
   private static final long CLOCK_SKEW_MILLIS =
       (long) Double.parseDouble(System.getProperty(CLOCK_SKEW_PROPERTY, "0"));
 
-  /** Completions of operations that completed at once, when they were started within a step. */
-  private final ArrayDeque<Runnable> completedAtOnce = new ArrayDeque<>();
+  /** Completions of channel operations that completed while the step that started them ran. */
+  private final ArrayDeque<Runnable> immediateCompletions = new ArrayDeque<>();
 
+  /** Steps that the current step has deferred, in order. */
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
 
-  /** Tasks of the loop's own thread that wait for their round, in order. */
+  /** Tasks queued by the loop's own thread, in order; each waits for its round. */
   private final ArrayDeque<QueuedTask> tasks = new ArrayDeque<>();
 
-  /** Tasks of other threads, which run in the next round. */
+  /** Tasks queued by other threads, which run in the next round. */
   private final ConcurrentLinkedQueue<Runnable> submittedTasks = new ConcurrentLinkedQueue<>();
 
-  /** Whether the group has been asked for a round that has not begun. */
+  /** Whether a round was posted to the group and has not begun. */
   private final AtomicBoolean isRoundPosted = new AtomicBoolean();
 
   /** The number of rounds that have begun. */
@@ -84,14 +92,17 @@
 
   private final TimerQueue timers = new TimerQueue();
 
-  /** The nanoseconds between 1970 and the origin of {@link System#nanoTime}. */
+  /**
+   * The nanoseconds from 1970, by the possibly skewed clock, to the origin of {@link
+   * System#nanoTime}.
+   */
   private final long nanoTimeOffset =
       (System.currentTimeMillis() + CLOCK_SKEW_MILLIS) * NANOS_PER_MILLISECOND - System.nanoTime();
 
   private final CountDownLatch started = new CountDownLatch(1);
   private final AsynchronousChannelGroup channelGroup;
 
-  /** The channel group as the executor that it is; see {@link #execute}. */
+  /** The channel group, which is also an executor that runs actions on the group's thread. */
   private final Executor groupExecutor;
 
   private final Alarm alarm;
@@ -99,15 +110,15 @@
   private long now; // ticks since 1970
   private boolean isInStep;
 
-  /** While it catches up after a stall: until when timers wait; otherwise 0. In ticks. */
+  /** The time in ticks until which timers wait after a stall; 0 if they do not wait. */
   private long catchUpEnd;
 
   private volatile boolean isStopped;
 
   /**
-   * Creates a loop whose clock shows the current time; it runs nothing until {@link #run}.
+   * Creates a loop that runs nothing until {@link #run} is called.
    *
-   * @throws UncheckedIOException if the system grants no channel group
+   * @throws UncheckedIOException if the channel group cannot be opened
    */
   public EventLoop() {
     updateClock();
@@ -117,13 +128,13 @@
       throw new UncheckedIOException(e);
     }
     if (!(channelGroup instanceof Executor executor)) {
-      throw new IllegalStateException("this JDK's channel groups run no tasks: " + channelGroup);
+      throw new IllegalStateException("expected a group that is an Executor, got " + channelGroup);
     }
     groupExecutor = executor;
     alarm = new Alarm(() -> post(() -> runStep(() -> {}))); // a step is followed by due timers
   }
 
-  /** Makes the one thread of the group, which waits for {@link #run}. */
+  /** Creates the factory of the group's one thread, which runs nothing until {@link #run}. */
   private ThreadFactory threadFactory() {
     return work -> {
       thread =
@@ -190,8 +201,8 @@
   }
 
   /**
-   * A handler that passes on the outcome of a channel's operation in a step of its own. One of the
-   * two consumers is called, once per operation.
+   * A handler that passes the outcome of a channel operation to one of the two consumers, which it
+   * calls once per operation, in a step of its own.
    */
   public <R> CompletionHandler<R, Void> handler(
       Consumer<R> onCompleted, Consumer<Throwable> onFailed) {
@@ -209,8 +220,8 @@
   }
 
   /**
-   * Lets the loop run until it is shut down, and returns when it has ended; the calling thread only
-   * waits. Interrupting that thread shuts the loop down.
+   * Starts the loop and blocks the calling thread until the loop has been shut down. Interrupting
+   * that thread shuts the loop down.
    */
   public void run() {
     alarm.start();
@@ -224,13 +235,13 @@
 
   /**
    * Queues a task, to be run as a step of its own. Any thread may call it. A task that the loop's
-   * own thread queues runs after everything that has arrived at the channels by now; one of another
-   * thread runs soon. After the shutdown the task is dropped.
+   * own thread queues runs after everything that has arrived at the channels by now; a task of
+   * another thread runs in the next round. After the shutdown the task is dropped.
    */
   @Override
   public void execute(Runnable task) {
     if (Thread.currentThread() == thread) {
-      tasks.add(new QueuedTask(round + ROUNDS_BEFORE_TASK, task));
+      tasks.add(new QueuedTask(round + ROUNDS_UNTIL_TASK, task));
     } else {
       submittedTasks.add(task);
     }
@@ -243,12 +254,15 @@
     }
   }
 
-  /** Has the group run the action, after it has asked the system for notifications once more. */
+  /**
+   * Has the group's thread run the action after it has asked the system for notifications once
+   * more.
+   */
   private void post(Runnable action) {
     try {
       groupExecutor.execute(action);
     } catch (RejectedExecutionException e) {
-      LOG.log(Level.FINE, "not run, as the loop has ended", e);
+      LOG.log(Level.FINE, "action dropped: the event loop has been shut down", e);
     }
   }
 
@@ -270,8 +284,7 @@
   }
 
   /**
-   * Ends the loop: the current step is the last one, and all channels are closed. Any thread may
-   * call it.
+   * Shuts the loop down: no further step runs, and all channels are closed. Any thread may call it.
    */
   public void shutdown() {
     isStopped = true;
@@ -280,17 +293,17 @@
     try {
       channelGroup.shutdownNow();
     } catch (IOException e) {
-      LOG.log(Level.WARNING, "channels are not closed", e);
+      LOG.log(Level.WARNING, "closing the channels of the event loop failed", e);
     }
   }
 
   /**
-   * Runs a step, the completions of what it began and what it deferred, then the timers that are
-   * due.
+   * Runs a step, then the completions and deferred steps that follow from it, then the timers that
+   * are due. If a step is running already, the new one is a completion that runs after it.
    */
   private void runStep(Runnable step) {
     if (isInStep) {
-      completedAtOnce.add(step);
+      immediateCompletions.add(step);
       return;
     }
     isInStep = true;
@@ -313,10 +326,10 @@
   }
 
   /**
-   * Whether timers must wait because this process was stalled (suspended, or without CPU time), as
-   * very late timers show. What arrived in the meantime must be handled first, for a short time:
-   * otherwise responses that are already in the sockets' buffers would count as timed out, and
-   * their backends as unresponsive.
+   * Whether timers must wait because this process was stalled (suspended, or without CPU time),
+   * which is detected by a very late timer. What arrived during the stall is handled first, for a
+   * limited time: otherwise responses that are already in the sockets' buffers would count as timed
+   * out, and their backends as unresponsive.
    */
   private boolean mustCatchUp() {
     if (catchUpEnd == 0 && now - timers.nextDeadline() > STALL_THRESHOLD) {
@@ -330,19 +343,20 @@
     return false;
   }
 
+  /** Runs a task and all completions and deferred steps that follow from it. */
   private void perform(Runnable task) {
     for (Runnable step = task; step != null && !isStopped; step = nextStep()) {
       updateClock();
       try {
         step.run();
-      } catch (RuntimeException | Error e) { // the failure of one request must not end the others
+      } catch (RuntimeException | Error e) { // one failed step must not end the loop
         LOG.log(Level.SEVERE, "a step failed", e);
       }
     }
   }
 
   private Runnable nextStep() {
-    Runnable completion = completedAtOnce.poll();
+    Runnable completion = immediateCompletions.poll();
     return completion != null ? completion : deferred.poll();
   }
 }
--- a/proxy/src/main/java/wheattrack/aio/TcpConnection.java
+++ b/proxy/src/main/java/wheattrack/aio/TcpConnection.java
@@ -23,7 +23,7 @@
 
   private final AsynchronousSocketChannel channel;
 
-  /** What is still to be written; the first buffer is being written. */
+  /** The buffers still to be written, in order; the write of the first one is pending. */
   private final ArrayDeque<ByteBuffer> pendingWrites = new ArrayDeque<>();
 
   private boolean isClosed;
@@ -40,7 +40,7 @@
     }
   }
 
-  /** Connects to the address; one of the two tasks runs in a later step, once. */
+  /** Connects to the address; exactly one of the two tasks is run, once, in a later step. */
   public final void connect(SocketAddress address, Runnable onConnected, Runnable onFailed) {
     try {
       channel.connect(
@@ -65,7 +65,7 @@
   }
 
   private void startRead(ByteBuffer buffer) {
-    if (!isClosed) { // else bytes that are still to come are left to the system
+    if (!isClosed) { // a closed connection must not consume further bytes
       channel.read(
           buffer, null, loop.handler(this::completeRead, cause -> completeRead(CONNECTION_BROKEN)));
     }
@@ -81,15 +81,15 @@
   }
 
   /**
-   * A read has brought bytes after the connection was closed: whoever sent them gets no response.
-   * Does nothing unless it is overridden, to make this visible.
+   * A read has returned bytes after the connection was closed, so that a request among them gets no
+   * response. Does nothing by default; a subclass may override it to count such reads.
    *
-   * @param count the bytes
+   * @param count the number of bytes that were read and dropped
    */
   protected void onReadDropped(int count) {}
 
   /**
-   * Writes all of the buffer, after the writes that are pending. {@link #onWritten} is called in a
+   * Writes the whole buffer, after the writes that are pending. {@link #onWritten} is called in a
    * later step, also if the connection is closed during this write; a write that is still queued
    * when the connection is closed is dropped.
    */
@@ -120,7 +120,7 @@
     onWritten(succeeded && !buffer.hasRemaining());
   }
 
-  /** The peer's address, for the log; "?" if the connection is closed or was never made. */
+  /** The peer's address, for the log; "?" if the connection is closed or was never established. */
   protected final String remoteAddressText() {
     try {
       return String.valueOf(channel.getRemoteAddress());
@@ -153,7 +153,7 @@
     }
   }
 
-  /** Closes the connection; a pending read is dropped and a pending write fails. */
+  /** Closes the connection; a pending read is discarded and a pending write fails. */
   public void close() {
     if (isClosed) {
       return;
--- a/proxy/src/main/java/wheattrack/core/BackendIndex.java
+++ b/proxy/src/main/java/wheattrack/core/BackendIndex.java
@@ -8,14 +8,15 @@
 import java.util.function.BiFunction;
 
 /**
- * Gives each known backend an index from a small dense range. An index is reused for a new backend
- * once its backend has left the endpoint list and has no work in flight. Not thread-safe.
+ * Assigns each known backend an index from a small dense range. An index is reused for a new
+ * backend once the backend that held it has left the endpoint list and has no work in flight. Not
+ * thread-safe.
  *
  * @param <K> the type of a backend's id
  * @param <B> the type of a backend
  */
 public final class BackendIndex<K, B extends BackendIndex.Backend<K>> {
-  /** The start time, in ticks, of a backend that started long ago at an unknown time. */
+  /** Stands for the start time, in ticks, of a backend that started long ago at an unknown time. */
   public static final long LONG_AGO = Long.MIN_VALUE / 2;
 
   /**
@@ -50,7 +51,9 @@
       attemptsInFlight++;
     }
 
-    /** Counts an attempt as ended: its outcome is known, and no rest of a response is awaited. */
+    /**
+     * Counts an attempt as ended: its outcome is known and its response is complete or given up.
+     */
     public final void attemptEnded() {
       attemptsInFlight--;
     }
@@ -73,7 +76,11 @@
   private final Map<K, B> byId = new HashMap<>();
   private final List<B> byIndex = new ArrayList<>();
 
-  /** Creates an empty index; the factory makes a backend of its id and index. */
+  /**
+   * Creates an empty index.
+   *
+   * @param factory creates a backend from its id and index
+   */
   public BackendIndex(BiFunction<K, Integer, B> factory) {
     this.factory = factory;
   }
@@ -100,7 +107,7 @@
     if (known != null) {
       return known;
     }
-    int index = releaseIndex();
+    int index = takeIndex();
     B backend = factory.apply(id, index);
     if (index == byIndex.size()) {
       byIndex.add(backend);
@@ -112,10 +119,10 @@
   }
 
   /**
-   * The lowest index whose backend is unlisted and idle, after removing that backend; if there is
-   * none, the first index that was never assigned.
+   * Returns the lowest index whose backend is unlisted and has no work in flight, and removes that
+   * backend; if there is none, returns the first index that was never assigned.
    */
-  private int releaseIndex() {
+  private int takeIndex() {
     for (B backend : byIndex) {
       if (!backend.isListed() && !backend.hasWorkInFlight()) {
         byId.remove(backend.id());
@@ -155,7 +162,7 @@
     return (int) byIndex.stream().skip(index).filter(Backend::isListed).count();
   }
 
-  /** The listed backends whose ids are not among these, by index. */
+  /** The listed backends whose ids are not in the set, ordered by index. */
   public List<B> listedExcept(Set<?> ids) {
     return byIndex.stream()
         .filter(backend -> backend.isListed() && !ids.contains(backend.id()))
--- a/proxy/src/main/java/wheattrack/core/ClientConnectionCounters.java
+++ b/proxy/src/main/java/wheattrack/core/ClientConnectionCounters.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Counts since the start of the process how connections of clients ended: which ones were evicted
- * to make room, and what was received on a connection that could no longer be answered. Runs on the
- * event loop's thread only.
+ * Counts, since the start of the process, client connections that were evicted to make room for
+ * others, reads that returned bytes after their connection was closed, and failed accepts. Runs on
+ * the event loop's thread only.
  */
 public final class ClientConnectionCounters {
   private final Map<EvictionPriority, Long> evictions = new EnumMap<>(EvictionPriority.class);
@@ -18,17 +18,17 @@
     evictions.merge(priority, 1L, Long::sum);
   }
 
-  /** Connections of this priority that were closed to make room. */
+  /** The number of connections that had this priority when they were closed to make room. */
   public long evictions(EvictionPriority priority) {
     return evictions.getOrDefault(priority, 0L);
   }
 
-  /** Counts a read that brought bytes after its connection was closed: they are lost. */
+  /** Counts a read that returned bytes after its connection was closed; the bytes are dropped. */
   public void countDroppedRead() {
     droppedReads++;
   }
 
-  /** Reads that brought bytes after their connection was closed. */
+  /** The number of reads that returned bytes after their connection was closed. */
   public long droppedReads() {
     return droppedReads;
   }
@@ -38,7 +38,7 @@
     failedAccepts++;
   }
 
-  /** Accepts that failed, mostly because descriptors had run out. */
+  /** The number of accepts that failed, usually because no file descriptor was free. */
   public long failedAccepts() {
     return failedAccepts;
   }
--- a/proxy/src/main/java/wheattrack/core/EvictionPriority.java
+++ b/proxy/src/main/java/wheattrack/core/EvictionPriority.java
@@ -5,14 +5,14 @@
  * constants stand in the order in which connections are evicted.
  */
 public enum EvictionPriority {
-  /** Its request was rejected and its response is written; it only has to close. */
+  /** Its request was rejected and the response has been written; it only waits to be closed. */
   LINGERING,
   /** It has been connected for a while and has never sent a byte of a request. */
   SILENT,
   /** It is between two requests. */
   IDLE,
-  /** Its client takes longer to send the head of a request than is allowed while others wait. */
+  /** Its client has exceeded the time to send a request head that applies while others wait. */
   SLOW_HEAD,
-  /** It is not evicted: a request is open on it or being received, or is to be expected at once. */
+  /** It is not evicted: a request is open on it, is being received, or is expected shortly. */
   NEVER
 }
--- a/proxy/src/main/java/wheattrack/core/Lifecycle.java
+++ b/proxy/src/main/java/wheattrack/core/Lifecycle.java
@@ -3,11 +3,11 @@
 import java.util.function.Consumer;
 
 /**
- * The phases of the process from start to exit; they only go forward, and may be skipped. Not
- * thread-safe.
+ * The current phase of the process, from start to exit. A phase can only be followed by a later
+ * one; phases may be skipped. Not thread-safe.
  */
 public final class Lifecycle {
-  /** A phase of the process, in the order in which they follow each other. */
+  /** The phases of the process, in the order in which they are entered. */
   public enum Phase {
     /** The configuration is being read. */
     STARTING,
@@ -21,7 +21,7 @@
     /** No longer ready, but requests that still arrive are accepted. */
     DRAINING,
 
-    /** Accepted requests are being answered; no more are accepted. */
+    /** Accepted requests are being answered; no further requests are accepted. */
     CLOSING,
 
     /** Everything is closed. */
--- a/proxy/src/main/java/wheattrack/core/MinimumTransferRate.java
+++ b/proxy/src/main/java/wheattrack/core/MinimumTransferRate.java
@@ -1,9 +1,9 @@
 package wheattrack.core;
 
 /**
- * The time that the sender of a body has left: an initial allowance, and more for each byte
- * received, so that a slow sender is served and one that stalls or sends a byte at a time is not.
- * Times are ticks of a tenth of a millisecond. Not thread-safe.
+ * The time that the sender of a body has left to send its next bytes: an initial allowance,
+ * extended by each byte received. A slow sender is served; one that stalls or sends single bytes is
+ * not. Times are ticks of a tenth of a millisecond. Not thread-safe.
  */
 public final class MinimumTransferRate {
   /** The time a sender has for its first bytes, in ticks. */
@@ -16,14 +16,14 @@
   private static final long MAX_ALLOWANCE = 50_000;
 
   /**
-   * The rate, in bytes per second, at which the allowance neither grows nor shrinks; half of the
-   * slowest sender that is served.
+   * The rate, in bytes per second, at which the allowance neither grows nor shrinks; half the rate
+   * of the slowest sender that is to be served.
    */
   private static final long BREAK_EVEN_RATE = 32_000;
 
   private static final long TICKS_PER_SECOND = 10_000;
 
-  private long allowance; // as of lastUpdate
+  private long allowance; // in ticks, as of lastUpdate
   private long lastUpdate;
   private boolean isPaused;
 
@@ -38,14 +38,14 @@
     isPaused = false;
   }
 
-  /** Extends the time by what this number of received bytes is worth. */
+  /** Extends the allowance by the time that these bytes take at {@link #BREAK_EVEN_RATE}. */
   public void received(long now, long bytes) {
     allowance =
         Math.min(MAX_ALLOWANCE, remaining(now) + bytes * TICKS_PER_SECOND / BREAK_EVEN_RATE);
     lastUpdate = now;
   }
 
-  /** Stops the clock: while nothing is read from the sender, a delay is not its fault. */
+  /** Stops the clock: while the receiver does not read, a delay is not the sender's fault. */
   public void pause(long now) {
     allowance = remaining(now);
     isPaused = true;
--- a/proxy/src/main/java/wheattrack/core/RequestCounters.java
+++ b/proxy/src/main/java/wheattrack/core/RequestCounters.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Counts events since the start of the process; each event is counted here only. Runs on the event
- * loop's thread only.
+ * Counts, since the start of the process, answers to requests, attempts and changes of the
+ * configuration. Runs on the event loop's thread only.
  */
 public final class RequestCounters {
   /** How a request ended for its client. */
@@ -46,7 +46,7 @@
   private long reloadsRejected;
   private long dynamicSettingsApplied;
 
-  /** Notes that a request class is in use, so that its counts are shown even while they are 0. */
+  /** Registers a request class, so that its counts are reported even while they are 0. */
   public void declare(String requestClass) {
     countsOf(requestClass);
   }
@@ -65,7 +65,7 @@
     return answersByClass.computeIfAbsent(name, key -> new AnswerCounts());
   }
 
-  /** The answers by request class, in the order in which the classes were first counted. */
+  /** The answers by request class, in the order in which the classes were first named. */
   public Map<String, AnswerCounts> answersByClass() {
     return Collections.unmodifiableMap(answersByClass);
   }
@@ -75,7 +75,7 @@
     attempts++;
   }
 
-  /** Attempts whose request was completely written to a backend. */
+  /** The number of attempts whose request was completely written to a backend. */
   public long attempts() {
     return attempts;
   }
@@ -85,7 +85,7 @@
     reloadsApplied++;
   }
 
-  /** Configurations that were read again and applied. */
+  /** The number of configurations that were read again and applied. */
   public long reloadsApplied() {
     return reloadsApplied;
   }
@@ -95,7 +95,7 @@
     reloadsRejected++;
   }
 
-  /** Configurations, read again or from a watched source, that were rejected as invalid. */
+  /** The number of configurations, reread or from a watched source, rejected as invalid. */
   public long reloadsRejected() {
     return reloadsRejected;
   }
@@ -105,7 +105,7 @@
     dynamicSettingsApplied++;
   }
 
-  /** Valid changes of the settings from a watched source. */
+  /** The number of valid changes of the settings from a watched source. */
   public long dynamicSettingsApplied() {
     return dynamicSettingsApplied;
   }
--- a/proxy/src/main/java/wheattrack/core/SlotTable.java
+++ b/proxy/src/main/java/wheattrack/core/SlotTable.java
@@ -5,7 +5,7 @@
 import java.util.List;
 
 /**
- * A table of numbered slots; the slot that was released last is the next to be used. Not
+ * A table of entries in numbered slots; a new entry takes the slot that was released last. Not
  * thread-safe.
  *
  * @param <T> the type of an entry
--- a/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
+++ b/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
@@ -26,7 +26,10 @@
     }
   }
 
-  /** Blocks the loop for longer than the delay of a timer, while tasks are queued behind it. */
+  /**
+   * Blocks the loop until a timer is late, then queues tasks and fails, which must not end the
+   * loop.
+   */
   private void stallThenFail() {
     record("stalls for 100 ms");
     try {
@@ -35,7 +38,7 @@
       record("interrupted");
     }
     loop.execute(() -> record("response that arrived during the stall"));
-    for (int i = 0; i < SLOW_TASKS; i++) { // together they take longer than catching up may
+    for (int i = 0; i < SLOW_TASKS; i++) { // together they take longer than timers may wait
       loop.execute(this::runSlowTask);
     }
     throw new IllegalStateException("a failed step must not end the loop");
@@ -54,7 +57,7 @@
     loop.execute(this::stallThenFail);
   }
 
-  /** After a stall, what has arrived is handled, for a limited time, before any timer runs. */
+  /** After a stall, late timers wait for queued tasks, but only for a limited time. */
   @Test
   void runsTasksBeforeLateTimersAfterStall() {
     loop.execute(this::start);
--- a/proxy/src/test/java/wheattrack/aio/ReceivedBytesTest.java
+++ b/proxy/src/test/java/wheattrack/aio/ReceivedBytesTest.java
@@ -21,18 +21,17 @@
 /**
  * What a connection has received does not change within a step of the event loop.
  *
- * <p>What happened: beside a crowd of idle clients, accepting a client threw "Comparison method
- * violates its general contract!" out of the sort of the connections by eviction priority. Why: the
- * priority asked the decoder for the number of received bytes, which was the position of the buffer
- * of the pending read, and the channel group's own thread moved that position while the loop's
- * thread was sorting. What showed it: the log line "a step failed" with that exception, 2 to 7
- * times a run beside 300 idle clients on 256 descriptors; here the crossing is forced, as the bytes
- * arrive while a step of the loop is held up.
+ * <p>Guards against a channel group whose own thread completes a read while a step runs. The
+ * eviction priority of a connection depends on the decoder's number of received bytes, which is the
+ * position of the buffer of the pending read. If that changes while the connections are sorted by
+ * priority, accepting a client fails with "Comparison method violates its general contract!" (2 to
+ * 7 times a run with 300 idle clients on 256 descriptors, logged as "a step failed"). The test
+ * forces the overlap: the bytes arrive while a step blocks the loop.
  */
 class ReceivedBytesTest {
   private static final int SECONDS = 5;
 
-  /** By then bytes sent over loopback have arrived. */
+  /** The time after which bytes sent over loopback have arrived. */
   private static final int ARRIVAL_MILLIS = 200;
 
   private final EventLoop eventLoop = new EventLoop();
@@ -79,11 +78,14 @@
       CompletableFuture<List<Boolean>> seenInStep = new CompletableFuture<>();
       eventLoop.execute(() -> seenInStep.complete(observeWhileBytesArrive(connection, peer)));
       assertEquals(List.of(false, false), seenInStep.get(SECONDS, TimeUnit.SECONDS));
-      assertEquals(true, readCompleted.get(SECONDS, TimeUnit.SECONDS), "in the read's completion");
+      assertEquals(
+          true,
+          readCompleted.get(SECONDS, TimeUnit.SECONDS),
+          "message begun, in the completion of the read");
     }
   }
 
-  /** Whether a message has begun, asked before and after bytes arrive, within one step. */
+  /** Returns whether a message has begun, before and after bytes arrive, within one step. */
   private static List<Boolean> observeWhileBytesArrive(Connection connection, Socket peer) {
     List<Boolean> seen = new ArrayList<>();
     seen.add(connection.decoder.isMidMessage());
--- a/proxy/src/test/java/wheattrack/aio/StallRecoveryTest.java
+++ b/proxy/src/test/java/wheattrack/aio/StallRecoveryTest.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A process that is held up, as the operators allow for up to 0.15 s, reads what has arrived before
- * it runs the timers that are late: a response in a socket's buffer must not count as timed out.
+ * A process that was stalled, which may happen for up to 0.15 s, reads what has arrived before it
+ * runs the timers that are late: a response in a socket's buffer must not count as timed out.
  */
 class StallRecoveryTest {
   private static final int SECONDS = 5;
   private static final int STALL_MILLIS = 150;
 
-  /** When the timer is due, in tenths of a millisecond: amid the stall. */
+  /** The delay of the timer in tenths of a millisecond; it ends during the stall. */
   private static final long TIMER_DELAY = 500;
 
   private final EventLoop eventLoop = new EventLoop();
@@ -72,7 +72,7 @@
     }
   }
 
-  /** The byte arrives when the timer is due already, and its alarm has rung. */
+  /** Sends the byte at the end of the stall, when the timer is already due. */
   private static void stallWhileByteArrives(Socket peer) {
     try {
       Thread.sleep(STALL_MILLIS);
--- a/proxy/src/test/java/wheattrack/aio/TaskOrderTest.java
+++ b/proxy/src/test/java/wheattrack/aio/TaskOrderTest.java
@@ -18,16 +18,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A task runs after everything that had arrived when it was queued: closing a connection in a task
- * never takes it from a request that has come before. The system's notifications come many at a
- * time and in no given order, the one that wakes the loop for tasks among them.
+ * A task runs after everything that had arrived when it was queued, so that a task that closes a
+ * connection never loses a request that arrived before. The system reports notifications in batches
+ * and in no defined order; the one that wakes the loop for tasks is among them.
  */
 class TaskOrderTest {
   private static final int SECONDS = 5;
   private static final int CONNECTIONS = 8;
   private static final int ROUNDS = 20;
 
-  /** By then bytes sent over loopback have arrived. */
+  /** The time after which bytes sent over loopback have arrived. */
   private static final int ARRIVAL_MILLIS = 20;
 
   private final EventLoop eventLoop = new EventLoop();
--- a/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
+++ b/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
@@ -76,9 +76,12 @@
             + backends.markUnlisted(null));
   }
 
-  /** All 60 backends are replaced 500 times while two old ones are busy; few indexes are needed. */
+  /**
+   * All 60 backends are replaced 500 times while one backend of each of the last two sets is busy:
+   * indexes are reused, so that none is over 122.
+   */
   @Test
-  void replacedBackendsTakeNoMoreIndexes() {
+  void reusesIndexesOfReplacedBackends() {
     BackendIndex<String, TestBackend> backends = new BackendIndex<>(TestBackend::new);
     int maxIndex = 0;
     for (int round = 0; round < 500; round++) {
--- a/proxy/src/test/java/wheattrack/core/LifecycleTest.java
+++ b/proxy/src/test/java/wheattrack/core/LifecycleTest.java
@@ -6,7 +6,7 @@
 import wheattrack.core.Lifecycle.Phase;
 import wheattrack.testing.TraceRecorder;
 
-/** The order of the process's phases. */
+/** The order in which the process can enter its phases. */
 class LifecycleTest {
   @Test
   void phasesOnlyGoForward() throws IOException {
