--- a/proxy/src/main/java/wheattrack/core/MinimumTransferRate.java
+++ b/proxy/src/main/java/wheattrack/core/MinimumTransferRate.java
@@ -2,8 +2,8 @@
 
 /**
  * The time that the sender of a body has left to send its next bytes: an initial allowance,
- * extended by each byte received. A slow sender is served; one that stalls or sends single bytes is
- * not. Times are ticks of a tenth of a millisecond. Not thread-safe.
+ * extended by each byte received. A slow sender is served; one that stalls or sends a byte at a
+ * time is not. Times are ticks of a tenth of a millisecond. Not thread-safe.
  */
 public final class MinimumTransferRate {
   /** The time a sender has for its first bytes, in ticks. */
--- a/proxy/src/main/java/wheattrack/http/BodyDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/BodyDecoder.java
@@ -8,10 +8,10 @@
  */
 final class BodyDecoder {
   private BodyFraming framing = BodyFraming.EMPTY;
-  private ChunkedDecoder chunkedDecoder; // of a chunked body only
-  private long remainingBytes; // of a body of known length only
+  private ChunkedDecoder chunkedDecoder; // null unless the body is chunked
+  private long remainingBytes; // valid for a body of known length only
   private long decodedBytes;
-  private boolean hasConnectionEnded; // of a body that lasts until the connection is closed only
+  private boolean hasConnectionEnded; // set for a body that ends with its connection only
 
   /** Begins the next body. */
   void start(BodyFraming bodyFraming) {
@@ -22,7 +22,7 @@
     hasConnectionEnded = false;
   }
 
-  /** Releases what is kept for the current body only. */
+  /** Releases the decoder of a chunked body once the body is complete. */
   void end() {
     chunkedDecoder = null;
   }
@@ -62,15 +62,15 @@
   }
 
   /**
-   * Notes that the peer has closed its side of the connection; returns whether that is the proper
-   * end of the body.
+   * Notes that the peer has closed its side of the connection; returns whether that is a valid end
+   * of the body.
    */
   boolean endOfStream() {
     hasConnectionEnded = framing.isUntilClose();
     return hasConnectionEnded;
   }
 
-  /** The framing of what is not decoded yet of an incomplete body. */
+  /** The framing of the part of an incomplete body that is not decoded yet. */
   BodyFraming remaining() {
     return framing.hasKnownLength() ? BodyFraming.fixedLength(remainingBytes) : framing;
   }
@@ -80,12 +80,12 @@
     return framing;
   }
 
-  /** The number of bytes of the body that were decoded. */
+  /** The number of bytes of the body decoded so far. */
   long decodedBytes() {
     return decodedBytes;
   }
 
-  /** The number of bytes still to be decoded, of a body whose length is known from the start. */
+  /** The number of bytes still to be decoded; valid for a body of known length only. */
   long remainingBytes() {
     return remainingBytes;
   }
--- a/proxy/src/main/java/wheattrack/http/BodyFraming.java
+++ b/proxy/src/main/java/wheattrack/http/BodyFraming.java
@@ -1,7 +1,8 @@
 package wheattrack.http;
 
 /**
- * How the end of a body, or of the rest of a body, is recognized on a connection. Immutable.
+ * How the end of a body, or of the part of it that follows, is recognized on a connection.
+ * Immutable.
  *
  * @param kind the way in which the end is recognized
  * @param length the number of bytes; 0 unless the kind is {@link Kind#FIXED_LENGTH}
@@ -25,7 +26,7 @@
   /** The framing of a response to HEAD, which has no body though its headers may give a length. */
   public static final BodyFraming NONE = new BodyFraming(Kind.NONE, 0);
 
-  /** No bytes: an empty body, or no rest of a body that is complete. */
+  /** No bytes: an empty body, or nothing left of a body that is complete. */
   public static final BodyFraming EMPTY = new BodyFraming(Kind.FIXED_LENGTH, 0);
 
   /** The chunked transfer coding. */
@@ -43,12 +44,12 @@
     return length == 0 ? EMPTY : new BodyFraming(Kind.FIXED_LENGTH, length);
   }
 
-  /** Whether no bytes are framed at all. */
+  /** Whether no bytes of a body follow. */
   public boolean isEmpty() {
     return hasKnownLength() && length == 0;
   }
 
-  /** Whether the number of bytes is known before they are received; {@link #length} gives it. */
+  /** Whether the number of bytes is known before they are received; it is {@link #length}. */
   public boolean hasKnownLength() {
     return !isChunked() && !isUntilClose();
   }
--- a/proxy/src/main/java/wheattrack/http/ByteAccumulator.java
+++ b/proxy/src/main/java/wheattrack/http/ByteAccumulator.java
@@ -3,7 +3,10 @@
 import java.nio.ByteBuffer;
 import java.util.Arrays;
 
-/** A growing sequence of bytes, appended at its end and taken from its start. */
+/**
+ * A growing sequence of bytes to which bytes are appended at the end and from which they are
+ * removed at the start. Not thread-safe.
+ */
 final class ByteAccumulator {
   private static final int DEFAULT_CAPACITY = 256;
 
@@ -35,7 +38,7 @@
     return Arrays.copyOf(bytes, size);
   }
 
-  /** All bytes, to be read; not a copy, so nothing may be appended until they are read. */
+  /** All bytes as a view, not a copy: nothing may be appended or removed until they are read. */
   ByteBuffer asBuffer() {
     return ByteBuffer.wrap(bytes, 0, size);
   }
--- a/proxy/src/main/java/wheattrack/http/ChunkedDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/ChunkedDecoder.java
@@ -12,8 +12,8 @@
   /** The most hexadecimal digits of a chunk's size. */
   private static final int MAX_SIZE_DIGITS = 8;
 
-  /** The most bytes of a chunk's extension, and of the trailers. */
-  private static final int MAX_EXTRA_BYTES = 4096;
+  /** The limit, in bytes, on the extension of each chunk, and on all trailers together. */
+  private static final int MAX_METADATA_BYTES = 4096;
 
   /** What the next byte belongs to. */
   private enum State {
@@ -31,7 +31,7 @@
   private State state = State.SIZE;
   private long remainingInChunk; // bytes of data
   private int sizeDigits; // of the current chunk
-  private int extraBytes; // of the current chunk's extension, or of the trailers
+  private int metadataBytes; // of the current chunk's extension, or of the trailers
 
   /** Whether the body was decoded to its end. */
   boolean isEnded() {
@@ -42,8 +42,8 @@
    * Consumes bytes up to the buffer's limit or the end of the body, and appends the data among them
    * to {@code data}; stops early where data follows that would make it longer than {@code maxSize}.
    *
-   * @throws MalformedMessageException if the bytes are no chunked body, or one with extensions or
-   *     trailers over the limit
+   * @throws MalformedMessageException if the bytes are not a chunked body, or if an extension or
+   *     the trailers are over the limit
    */
   void decode(ByteBuffer buffer, ByteAccumulator data, int maxSize)
       throws MalformedMessageException {
@@ -72,11 +72,13 @@
       case DATA_END -> decodeDataEnd(c);
       case TRAILER_START -> decodeTrailerStart(c);
       case TRAILER_LINE -> state = c == '\n' ? State.TRAILER_START : State.TRAILER_LINE;
-      default -> throw new IllegalStateException("no framing in state " + state);
+      default -> throw new IllegalStateException("state " + state + " expects no byte of framing");
     }
-    boolean isExtra = state == State.TRAILER_LINE || state == State.EXTENSION;
-    if (isExtra && ++extraBytes > MAX_EXTRA_BYTES) {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "too much beside the chunks");
+    boolean isMetadata = state == State.TRAILER_LINE || state == State.EXTENSION;
+    if (isMetadata && ++metadataBytes > MAX_METADATA_BYTES) {
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST,
+          "chunk extension or trailers over " + MAX_METADATA_BYTES + " bytes");
     }
   }
 
@@ -88,7 +90,9 @@
     }
     boolean isAfterSize = c == ';' || c == '\r' || c == '\n' || c == ' ';
     if (sizeDigits == 0 || sizeDigits > MAX_SIZE_DIGITS || !isAfterSize) {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "bad chunk size");
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST,
+          "bad chunk size, expected 1 to " + MAX_SIZE_DIGITS + " hexadecimal digits");
     }
     state = State.EXTENSION;
     decodeExtension(c);
@@ -104,9 +108,10 @@
     if (c == '\n') {
       state = State.SIZE;
       sizeDigits = 0;
-      extraBytes = 0;
+      metadataBytes = 0;
     } else if (c != '\r') {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "a chunk longer than its size");
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST, "chunk data longer than the chunk size, expected a line break");
     }
   }
 
--- a/proxy/src/main/java/wheattrack/http/Decoder.java
+++ b/proxy/src/main/java/wheattrack/http/Decoder.java
@@ -5,35 +5,35 @@
 /**
  * Decodes messages from the bytes of one connection as they arrive.
  *
- * <p>A message with a body of up to {@link #MAX_BUFFERED_BODY} bytes is returned complete. Of one
- * with a longer body the head is returned with the first bytes, and the rest is streamed: it is
- * fetched part by part with {@link #nextBodyPart}. Runs on the event loop's thread only.
+ * <p>A message with a body of up to {@link #MAX_BUFFERED_BODY} bytes is returned complete. A
+ * message with a longer body is returned with the start of its body, and the rest is streamed: it
+ * is fetched part by part with {@link #nextBodyPart}. Runs on the event loop's thread only.
  *
  * @param <M> the type of a message
  */
 public abstract class Decoder<M> {
-  /** Bytes of the longest body that is returned complete with its message. */
+  /** The size, in bytes, of the longest body that is returned complete with its message. */
   public static final int MAX_BUFFERED_BODY = 64 * 1024;
 
-  /** Bytes of the longest body that is accepted, unless another limit is given. */
+  /** The size, in bytes, of the longest body that is accepted, unless another limit is given. */
   public static final long DEFAULT_MAX_BODY = 32L << 20;
 
-  /** The version of messages that this program sends. */
+  /** The HTTP version of the messages that this program sends. */
   static final String HTTP_1_1 = "HTTP/1.1";
 
-  /** The older version that is accepted too; its connections carry one message each. */
+  /** The older HTTP version that is accepted too; its connections carry one message each. */
   static final String HTTP_1_0 = "HTTP/1.0";
 
   /** The most bytes of one read of a long body, and of one part of it. */
   private static final int MAX_PART = 16 * 1024;
 
-  /** Bytes of the longest rest of a body that is read into a small buffer. */
+  /** The most remaining bytes of a body that are read into a buffer of the default size. */
   private static final int MAX_SMALL_REST = MAX_PART / 16;
 
   /** The least capacity, in bytes, of the buffer for one part. */
   private static final int MIN_PART_CAPACITY = 16;
 
-  /** How far the current message was decoded. */
+  /** How far the current message has been decoded. */
   private enum State {
     /** The head of the next message is not complete. */
     AWAITING_HEAD,
@@ -50,12 +50,12 @@
   private final long maxBody;
 
   private State state = State.AWAITING_HEAD;
-  private ByteAccumulator bufferedBody; // in BUFFERING_BODY only
+  private ByteAccumulator bufferedBody; // set in BUFFERING_BODY only
 
   /**
    * Creates a decoder.
    *
-   * @param maxBody bytes of the longest body that is accepted
+   * @param maxBody the size, in bytes, of the longest body that is accepted
    */
   protected Decoder(long maxBody) {
     this.maxBody = maxBody;
@@ -92,7 +92,7 @@
     return isInBody() || received.size() > 0;
   }
 
-  /** Whether a message was returned of whose body further parts are still to be fetched. */
+  /** Whether a message was returned whose body has further parts that are to be fetched. */
   public boolean isStreamingBody() {
     return state == State.STREAMING_BODY;
   }
@@ -102,7 +102,7 @@
     return state != State.AWAITING_HEAD;
   }
 
-  /** Whether a message of unknown length has begun and was not returned yet. */
+  /** Whether a message whose body has no known length has begun and was not returned yet. */
   public boolean isOpenEnded() {
     return state == State.BUFFERING_BODY && !bodyDecoder.framing().hasKnownLength();
   }
@@ -111,7 +111,7 @@
    * The next message, complete or with the start of its body, or null if more bytes must be
    * received first or the current body is still being streamed.
    *
-   * @throws MalformedMessageException if the bytes are no valid message, or one over a limit; the
+   * @throws MalformedMessageException if the bytes are not a valid message or exceed a limit; the
    *     decoder must not be used any more
    */
   public M next() throws MalformedMessageException {
@@ -132,8 +132,8 @@
   }
 
   /**
-   * The message for which {@link #isOpenEnded} holds, with the part of its body decoded so far; the
-   * rest is streamed.
+   * The current message with the part of its body decoded so far; the rest is streamed. May be
+   * called only while {@link #isOpenEnded} holds.
    */
   public M nextWithPartialBody() {
     return startStreaming();
@@ -143,7 +143,7 @@
    * The next received bytes of the body that is streamed, which may be none. Afterwards {@link
    * #isStreamingBody} shows whether more of it follows.
    *
-   * @throws MalformedMessageException if the bytes are no valid body, or one over the limit
+   * @throws MalformedMessageException if the bytes are not a valid body or exceed the limit
    */
   public ByteBuffer nextBodyPart() throws MalformedMessageException {
     int capacity = Math.min(MAX_PART, Math.max(MIN_PART_CAPACITY, received.size()));
@@ -156,8 +156,8 @@
   }
 
   /**
-   * Notes that the peer has closed its side of the connection; returns whether that is the proper
-   * end of the current body.
+   * Notes that the peer has closed its side of the connection; returns whether that is a valid end
+   * of the current body.
    */
   public boolean endOfStream() {
     return isInBody() && bodyDecoder.endOfStream();
@@ -241,8 +241,10 @@
   protected abstract int minBytesOfLongBody();
 
   /**
-   * Parses the first line and keeps what {@link #message} needs.
+   * Parses the first line and stores what {@link #message} needs.
    *
+   * @param firstLine the request line or status line
+   * @param headers the headers of the message
    * @return the framing of the body
    * @throws MalformedMessageException if the line or the headers are not valid
    */
@@ -250,21 +252,33 @@
       throws MalformedMessageException;
 
   /**
-   * Creates the message of the last head read.
+   * Creates the message whose head was passed to {@link #readHead} last.
    *
    * @param body the body, or its start
    * @param remainingBody the framing of the part of the body that follows
    */
   protected abstract M message(byte[] body, BodyFraming remainingBody);
 
-  /** Whether the connection of a message may carry a further one. */
+  /**
+   * Whether the connection of a message may carry further messages.
+   *
+   * @param version the HTTP version of the message
+   * @param headers the headers of the message
+   */
   static boolean keepsAlive(String version, Headers headers) {
     return version.equals(HTTP_1_1) && !headers.containsToken("Connection", "close");
   }
 
+  /**
+   * Checks the HTTP version of a request.
+   *
+   * @throws MalformedMessageException if the version is not supported
+   */
   static void checkVersion(String version) throws MalformedMessageException {
     if (!version.equals(HTTP_1_1) && !version.equals(HTTP_1_0)) {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "unknown version");
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST,
+          "unsupported HTTP version, expected " + HTTP_1_1 + " or " + HTTP_1_0);
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/http/Encoder.java
+++ b/proxy/src/main/java/wheattrack/http/Encoder.java
@@ -12,7 +12,7 @@
   /** The initial capacity, in characters, for the head of a response. */
   private static final int RESPONSE_HEAD_CAPACITY = 128;
 
-  /** The methods whose requests usually have no body, so that an empty one needs no length. */
+  /** The methods whose requests usually have no body, so that an empty body needs no length. */
   private static final Set<String> METHODS_WITHOUT_BODY = Set.of("GET", "HEAD");
 
   private static final String CONTINUE_RESPONSE = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -21,7 +21,7 @@
 
   private Encoder() {}
 
-  /** Encodes a request with as much of its body as it holds. */
+  /** Encodes a request with the part of the body that it holds. */
   public static ByteBuffer request(Request request) {
     StringBuilder head = new StringBuilder(REQUEST_HEAD_CAPACITY);
     head.append(request.method())
@@ -41,7 +41,7 @@
         hasLength);
   }
 
-  /** Encodes a response with as much of its body as it holds. */
+  /** Encodes a response with the part of the body that it holds. */
   public static ByteBuffer response(Response response) {
     StringBuilder head = new StringBuilder(RESPONSE_HEAD_CAPACITY);
     head.append(Decoder.HTTP_1_1)
@@ -65,7 +65,12 @@
     return ByteBuffer.wrap(CONTINUE_RESPONSE.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Encodes a part of a chunked body, which may be empty, and its end if this is the last part. */
+  /**
+   * Encodes a part of a chunked body.
+   *
+   * @param part the bytes, which may be none
+   * @param isLast whether the body ends with this part
+   */
   public static ByteBuffer chunk(ByteBuffer part, boolean isLast) {
     int size = part.remaining();
     String prefix = size > 0 ? Integer.toHexString(size) + LINE_END : "";
@@ -78,12 +83,14 @@
   }
 
   /**
-   * Completes a message.
+   * Encodes a message.
    *
    * @param head the first line, to which the headers and those of the framing are appended
+   * @param headers the headers without those of the framing
+   * @param keepAlive whether the connection may carry further messages
    * @param body the body, or its start
    * @param remainingBody the framing of the part of the body that follows
-   * @param hasLength whether the length of the body is sent if it is known
+   * @param hasLength whether a known length of the body is sent as Content-Length
    */
   private static ByteBuffer message(
       StringBuilder head,
--- a/proxy/src/main/java/wheattrack/http/Headers.java
+++ b/proxy/src/main/java/wheattrack/http/Headers.java
@@ -5,8 +5,8 @@
 import java.util.regex.Pattern;
 
 /**
- * The header lines of a message, in their order. Names are compared without regard to case. Mutable
- * and not thread-safe.
+ * The header lines of a message, in their order. Names are compared ignoring case. Mutable and not
+ * thread-safe.
  */
 public final class Headers {
   /** Returned by {@link #contentLength} where no length is given. */
@@ -15,8 +15,10 @@
   /** The initial capacity, in lines. */
   private static final int INITIAL_CAPACITY = 8;
 
-  /** A length in bytes, with as many digits as a long can hold in any case. */
-  private static final Pattern LENGTH = Pattern.compile("[0-9]{1,15}");
+  /** The most digits of a length in bytes; any number of this many digits fits into a long. */
+  private static final int MAX_LENGTH_DIGITS = 15;
+
+  private static final Pattern LENGTH = Pattern.compile("[0-9]{1," + MAX_LENGTH_DIGITS + "}");
 
   private static final String CONTENT_LENGTH = "Content-Length";
   private static final String TRANSFER_ENCODING = "Transfer-Encoding";
@@ -36,7 +38,7 @@
     return names.size();
   }
 
-  /** The name on the line with this index, as it was written. */
+  /** The name on the line with this index, in the case in which it was given. */
   public String name(int index) {
     return names.get(index);
   }
@@ -56,7 +58,10 @@
     return null;
   }
 
-  /** Whether a header whose value is a comma-separated list contains this token, in any case. */
+  /**
+   * Whether a header with this name contains the token in its comma-separated value. Case is
+   * ignored in both.
+   */
   public boolean containsToken(String name, String token) {
     for (int i = 0; i < names.size(); i++) {
       if (isNamed(i, name) && listContains(values.get(i), token)) {
@@ -82,7 +87,7 @@
   /**
    * The length of the body that these headers give, or {@link #NO_LENGTH}.
    *
-   * @throws MalformedMessageException if a length is not a number, or two of them differ
+   * @throws MalformedMessageException if a Content-Length is not a number or two of them differ
    */
   long contentLength() throws MalformedMessageException {
     long length = NO_LENGTH;
@@ -90,7 +95,9 @@
       if (isNamed(i, CONTENT_LENGTH)) {
         long lineLength = parseLength(values.get(i));
         if (length != NO_LENGTH && length != lineLength) {
-          throw new MalformedMessageException(StatusCode.BAD_REQUEST, "lengths that differ");
+          throw new MalformedMessageException(
+              StatusCode.BAD_REQUEST,
+              "Content-Length headers differ: " + length + " and " + lineLength);
         }
         length = lineLength;
       }
@@ -100,7 +107,9 @@
 
   private static long parseLength(String value) throws MalformedMessageException {
     if (!LENGTH.matcher(value).matches()) {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "bad length " + value);
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST,
+          "bad Content-Length, expected 1 to " + MAX_LENGTH_DIGITS + " digits: " + value);
     }
     return Long.parseLong(value);
   }
@@ -108,21 +117,23 @@
   /**
    * Whether the body is in the chunked transfer coding.
    *
-   * @throws MalformedMessageException if it has another transfer coding, or a length as well: two
-   *     readers of such a message could disagree on where it ends (request smuggling)
+   * @throws MalformedMessageException if it has another transfer coding, or a Content-Length as
+   *     well: two recipients of such a message could disagree on where it ends (request smuggling)
    */
   boolean isChunked() throws MalformedMessageException {
     boolean isChunked = false;
     for (int i = 0; i < names.size(); i++) {
       if (isNamed(i, TRANSFER_ENCODING)) {
         if (isChunked || !values.get(i).equalsIgnoreCase("chunked")) {
-          throw new MalformedMessageException(StatusCode.BAD_REQUEST, "unknown transfer coding");
+          throw new MalformedMessageException(
+              StatusCode.BAD_REQUEST, "unsupported Transfer-Encoding, expected chunked once");
         }
         isChunked = true;
       }
     }
     if (isChunked && first(CONTENT_LENGTH) != null) {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "a length beside chunks");
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST, "both Content-Length and Transfer-Encoding, expected only one");
     }
     return isChunked;
   }
--- a/proxy/src/main/java/wheattrack/http/JsonObjectScanner.java
+++ b/proxy/src/main/java/wheattrack/http/JsonObjectScanner.java
@@ -1,14 +1,14 @@
 package wheattrack.http;
 
 /**
- * Finds where each JSON object in a stream of bytes ends, or each line that is no object. Runs on
- * the event loop's thread only.
+ * Finds the end of each JSON object or array in a stream of bytes, and of each line of other text.
+ * Runs on the event loop's thread only.
  */
 final class JsonObjectScanner {
   private static final String OPENING_BRACKETS = "{[";
   private static final String CLOSING_BRACKETS = "}]";
 
-  /** Where the scan is with regard to JSON strings, in which brackets have no meaning. */
+  /** Whether the scan is in a JSON string, in which brackets have no meaning. */
   private enum State {
     OUTSIDE_STRING,
     IN_STRING,
@@ -17,8 +17,8 @@
   }
 
   private State state = State.OUTSIDE_STRING;
-  private int depth; // brackets open
-  private boolean isAfterObject; // on the line on which an object ended
+  private int depth; // the number of open brackets
+  private boolean isAfterObject; // whether an object ended on the current line
 
   /** Whether an object has begun that is not complete. */
   boolean isInObject() {
@@ -66,7 +66,7 @@
     return c == '\n' && endsPlainLine();
   }
 
-  /** Whether the line that ends now has no object on it and is not part of one. */
+  /** Whether the line that ends here contains no object and is not part of one. */
   private boolean endsPlainLine() {
     boolean isPlain = depth == 0 && !isAfterObject;
     isAfterObject = false;
--- a/proxy/src/main/java/wheattrack/http/LineDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/LineDecoder.java
@@ -4,30 +4,30 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes a response that stays open and carries one JSON object after another, chunked or until
- * the connection is closed.
+ * Decodes a long-running response whose body, chunked or ended by closing the connection, is a
+ * sequence of JSON objects.
  *
- * <p>Usually each object is a line; an indented one takes several lines and is returned as one.
- * Text that is no object is returned line by line. An empty line shows that the sender is alive.
- * Runs on the event loop's thread only.
+ * <p>Usually each object is a line; an indented object spans several lines and is returned as one
+ * text. Other text is returned line by line. An empty line shows that the sender is alive. Runs on
+ * the event loop's thread only.
  */
 public final class LineDecoder {
-  /** Bytes of the longest object or line. */
+  /** The size, in bytes, of the longest object or line. */
   private static final int MAX_LINE = 4 << 20;
 
   private final ReceiveBuffer received = new ReceiveBuffer();
   private final ByteAccumulator data = new ByteAccumulator();
   private final JsonObjectScanner scanner = new JsonObjectScanner();
-  private int scannedBytes; // at the start of data
+  private int scannedBytes; // the number of bytes at the start of data that were scanned
   private boolean isOpen;
-  private ChunkedDecoder chunkedDecoder; // of a chunked response only
+  private ChunkedDecoder chunkedDecoder; // null unless the response is chunked
 
   /** The buffer for the next bytes received, to be filled by one read. */
   public ByteBuffer writableBuffer() {
     return received.writableBuffer();
   }
 
-  /** Whether the response itself has ended, though its connection has not. */
+  /** Whether the last chunk was received, so that the response has ended. */
   public boolean isEnded() {
     return chunkedDecoder != null && chunkedDecoder.isEnded();
   }
@@ -43,11 +43,11 @@
   }
 
   /**
-   * The next complete object, or line that is none, without white space around it; null if more
+   * The next complete object, or line of other text, without white space around it; null if more
    * bytes must be received first.
    *
-   * @throws MalformedMessageException if the response has another status than 200, is malformed or
-   *     has a line over the limit
+   * @throws MalformedMessageException if the response has a status other than 200, is malformed or
+   *     has an object or line over the limit
    */
   public String next() throws MalformedMessageException {
     if (!isOpen && !readHead()) {
@@ -63,7 +63,7 @@
     }
     if (data.size() >= MAX_LINE) {
       throw new MalformedMessageException(
-          StatusCode.BAD_GATEWAY, "line over " + MAX_LINE + " bytes");
+          StatusCode.BAD_GATEWAY, "object or line over " + MAX_LINE + " bytes");
     }
     return null;
   }
@@ -75,7 +75,8 @@
     }
     int status = ResponseDecoder.parseStatus(lines[0]);
     if (status != StatusCode.OK) {
-      throw new MalformedMessageException(status, "answered " + status);
+      throw new MalformedMessageException(
+          status, "expected status " + StatusCode.OK + ", got " + status);
     }
     chunkedDecoder = ReceiveBuffer.parseHeaders(lines).isChunked() ? new ChunkedDecoder() : null;
     isOpen = true;
--- a/proxy/src/main/java/wheattrack/http/MalformedMessageException.java
+++ b/proxy/src/main/java/wheattrack/http/MalformedMessageException.java
@@ -1,11 +1,17 @@
 package wheattrack.http;
 
-/** Received bytes are no valid HTTP message, or one that is not accepted. */
+/** Thrown if received bytes are not a valid HTTP message, or one that is not accepted. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1;
 
   private final int status;
 
+  /**
+   * Creates the exception.
+   *
+   * @param status the HTTP status code with which a server answers such bytes
+   * @param message one line for the peer and the log: what was expected and what was received
+   */
   MalformedMessageException(int status, String message) {
     super(message);
     this.status = status;
--- a/proxy/src/main/java/wheattrack/http/ReceiveBuffer.java
+++ b/proxy/src/main/java/wheattrack/http/ReceiveBuffer.java
@@ -5,19 +5,19 @@
 
 /** The bytes received on a connection and not decoded yet, and the parser of message heads. */
 final class ReceiveBuffer {
-  /** Bytes of the longest head. */
+  /** The size, in bytes, of the longest head. */
   private static final int MAX_HEAD = 16 * 1024;
 
-  /** The most lines of a head, the first line among them. */
+  /** The most lines of a head, including the first line. */
   private static final int MAX_HEAD_LINES = 100;
 
-  /** Bytes of the buffer of a connection on which no long message is received. */
+  /** The size, in bytes, of the buffer while no long message is received. */
   private static final int MIN_CAPACITY = 1024;
 
-  /** With less space than this, in bytes, the buffer grows before a read. */
+  /** The least free space, in bytes, for a read; with less, the buffer grows first. */
   private static final int MIN_SPACE = MIN_CAPACITY / 4;
 
-  /** The control character with the greatest code. */
+  /** The ASCII control character DEL. */
   static final int DELETE = 127;
 
   private static final int FIRST_PRINTABLE = ' ';
@@ -25,10 +25,10 @@
   /** The visible characters that must not be part of a token. */
   private static final String TOKEN_SEPARATORS = "\"(),/:;<=>?@[\\]{}";
 
-  /** The bytes from 0 to the position are received and not consumed. */
+  /** Holds, from 0 to its position, the bytes received and not consumed. */
   private ByteBuffer buffer = ByteBuffer.allocate(MIN_CAPACITY);
 
-  /** The number of bytes at the start of the buffer that contain no end of a head. */
+  /** The number of bytes at the start of the buffer known to contain no end of a head. */
   private int scanned;
 
   /** The buffer for the next bytes received, to be filled by one read. */
@@ -112,7 +112,8 @@
     String[] lines = head.strip().split("\r?\n");
     if (lines.length > MAX_HEAD_LINES || end > MAX_HEAD) {
       throw new MalformedMessageException(
-          StatusCode.HEADER_FIELDS_TOO_LARGE, "too many header lines");
+          StatusCode.HEADER_FIELDS_TOO_LARGE,
+          "head over " + MAX_HEAD_LINES + " lines or " + MAX_HEAD + " bytes");
     }
     return lines;
   }
@@ -155,6 +156,7 @@
   /**
    * Parses the header lines of a head, which follow its first line.
    *
+   * @param lines the lines of the head; the first one is skipped
    * @throws MalformedMessageException if a line has no valid name, or a value with control
    *     characters
    */
@@ -164,11 +166,13 @@
       int colon = lines[i].indexOf(':');
       String name = lines[i].substring(0, Math.max(0, colon));
       if (!isToken(name)) {
-        throw new MalformedMessageException(StatusCode.BAD_REQUEST, "bad header line");
+        throw new MalformedMessageException(
+            StatusCode.BAD_REQUEST, "bad header line " + i + ", expected NAME: VALUE");
       }
       String value = lines[i].substring(colon + 1).strip();
       if (value.chars().anyMatch(ReceiveBuffer::isForbiddenInValue)) {
-        throw new MalformedMessageException(StatusCode.BAD_REQUEST, "bad header value");
+        throw new MalformedMessageException(
+            StatusCode.BAD_REQUEST, "control character in the value of header line " + i);
       }
       headers.with(name, value);
     }
--- a/proxy/src/main/java/wheattrack/http/Request.java
+++ b/proxy/src/main/java/wheattrack/http/Request.java
@@ -4,8 +4,8 @@
  * One request.
  *
  * @param method the method, in upper case
- * @param target the target, from its first slash
- * @param headers all headers, those of the framing among them where the request was received
+ * @param target the path and query; starts with a slash
+ * @param headers all headers; in a received request, including those of the framing
  * @param keepAlive whether the connection may carry further requests after this one
  * @param body the body, or the part of it that is sent with the head
  * @param remainingBody the framing of the part of the body that follows; {@link BodyFraming#EMPTY}
--- a/proxy/src/main/java/wheattrack/http/RequestDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/RequestDecoder.java
@@ -4,10 +4,10 @@
 
 /** Decodes requests, as a server receives them. Runs on the event loop's thread only. */
 public final class RequestDecoder extends Decoder<Request> {
-  private static final Set<String> METHODS =
-      Set.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS");
+  private static final String METHOD_LIST = "GET, HEAD, POST, PUT, PATCH, DELETE, OPTIONS";
+  private static final Set<String> METHODS = Set.of(METHOD_LIST.split(", "));
 
-  /** Bytes of a long body that are decoded before the request is returned. */
+  /** How many bytes of a long body are decoded before the request is returned. */
   private static final int MIN_BYTES_OF_LONG_BODY = MAX_BUFFERED_BODY / 4;
 
   private String method;
@@ -25,13 +25,13 @@
   /**
    * Creates a decoder.
    *
-   * @param maxBody bytes of the longest body that is accepted
+   * @param maxBody the size, in bytes, of the longest body that is accepted
    */
   public RequestDecoder(long maxBody) {
     super(maxBody);
   }
 
-  /** More than one byte, so that the start of a long request can be sent again on a retry. */
+  /** More than one byte, so that the buffered start of a long request can be resent on a retry. */
   @Override
   protected int minBytesOfLongBody() {
     return MIN_BYTES_OF_LONG_BODY;
@@ -42,12 +42,14 @@
       throws MalformedMessageException {
     String[] parts = requestLine.split(" ", -1);
     if (parts.length != 3 || !ReceiveBuffer.isToken(parts[0]) || !isTarget(parts[1])) {
-      throw new MalformedMessageException(StatusCode.BAD_REQUEST, "bad request line");
+      throw new MalformedMessageException(
+          StatusCode.BAD_REQUEST, "bad request line, expected METHOD /TARGET VERSION");
     }
     String version = parts[2];
     checkVersion(version);
     if (!METHODS.contains(parts[0])) {
-      throw new MalformedMessageException(StatusCode.METHOD_NOT_ALLOWED, "method not taken");
+      throw new MalformedMessageException(
+          StatusCode.METHOD_NOT_ALLOWED, "unsupported method, expected one of " + METHOD_LIST);
     }
     method = parts[0];
     target = parts[1];
@@ -66,8 +68,8 @@
   }
 
   /**
-   * Whether the client waits for an interim response before it sends the body. Returns true once
-   * per request.
+   * Whether the client waits for an interim response before it sends the body. Returns true at most
+   * once per request.
    */
   public boolean expectsContinue() {
     boolean isExpected = expectsContinue;
--- a/proxy/src/main/java/wheattrack/http/Response.java
+++ b/proxy/src/main/java/wheattrack/http/Response.java
@@ -6,7 +6,7 @@
  * One response.
  *
  * @param status the status code
- * @param headers all headers, those of the framing among them where the response was received
+ * @param headers all headers; in a received response, including those of the framing
  * @param keepAlive whether the connection may carry further requests after this response
  * @param body the body, or the part of it that is sent with the head
  * @param remainingBody the framing of the part of the body that follows; {@link BodyFraming#EMPTY}
@@ -27,8 +27,8 @@
   }
 
   /**
-   * This response as one to HEAD: with its length and without its body. The length is added to this
-   * response's own headers.
+   * This response as the response to a HEAD request: with the length of its body and without the
+   * body. Also changes this response: the length is added to its headers.
    */
   public Response withoutBody() {
     if (remainingBody.isNone()) {
--- a/proxy/src/main/java/wheattrack/http/ResponseDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/ResponseDecoder.java
@@ -3,8 +3,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Decodes responses, as a client receives them. A body without a length ends when the sender closes
- * its side of the connection. Runs on the event loop's thread only.
+ * Decodes responses, as a client receives them. A body that is not chunked and has no length ends
+ * when the sender closes its side of the connection. Runs on the event loop's thread only.
  */
 public final class ResponseDecoder extends Decoder<Response> {
   private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] [1-5][0-9][0-9]( .*)?");
@@ -26,21 +26,21 @@
   /**
    * Creates a decoder.
    *
-   * @param maxBody bytes of the longest body that is accepted
+   * @param maxBody the size, in bytes, of the longest body that is accepted
    */
   public ResponseDecoder(long maxBody) {
     super(maxBody);
   }
 
   /**
-   * Sets whether the next responses are to HEAD requests, which have no body whatever their headers
-   * give as its length.
+   * Sets whether the next responses answer HEAD requests; they have no body, whatever length their
+   * headers give.
    */
   public void expectNoBody(boolean isExpected) {
     expectNoBody = isExpected;
   }
 
-  /** One: the latency of a long response is measured up to its first byte. */
+  /** One byte, as the latency of a long response is measured up to the first byte of its body. */
   @Override
   protected int minBytesOfLongBody() {
     return 1;
@@ -77,7 +77,9 @@
    */
   static int parseStatus(String statusLine) throws MalformedMessageException {
     if (!STATUS_LINE.matcher(statusLine).matches()) {
-      throw new MalformedMessageException(StatusCode.BAD_GATEWAY, "bad status line");
+      throw new MalformedMessageException(
+          StatusCode.BAD_GATEWAY,
+          "bad status line, expected HTTP/1.1 or HTTP/1.0 and a status code");
     }
     return Integer.parseInt(statusLine.substring(STATUS_START, STATUS_END));
   }
--- a/proxy/src/main/java/wheattrack/http/StatusCode.java
+++ b/proxy/src/main/java/wheattrack/http/StatusCode.java
@@ -14,7 +14,7 @@
   /** The request is malformed. */
   public static final int BAD_REQUEST = 400;
 
-  /** Nothing is served under the target. */
+  /** The target does not exist. */
   public static final int NOT_FOUND = 404;
 
   /** The method is not supported for the target. */
@@ -38,7 +38,7 @@
   /** A server behind this one sent an invalid response. */
   public static final int BAD_GATEWAY = 502;
 
-  /** The request is not served now. */
+  /** The request cannot be served at present. */
   public static final int SERVICE_UNAVAILABLE = 503;
 
   /** A server behind this one did not respond in time. */
@@ -50,12 +50,12 @@
 
   private StatusCode() {}
 
-  /** Whether a response with this code is followed by another one to the same request. */
+  /** Whether this code is interim (1xx): another response to the same request follows. */
   public static boolean isInterim(int statusCode) {
     return statusCode < MIN_FINAL;
   }
 
-  /** Whether a response with this code says that the request itself is at fault. */
+  /** Whether this code is a client error (4xx): the request itself is at fault. */
   public static boolean isClientError(int statusCode) {
     return statusCode >= MIN_CLIENT_ERROR && statusCode < MIN_SERVER_ERROR;
   }
--- a/proxy/src/test/java/wheattrack/http/HttpCodecTest.java
+++ b/proxy/src/test/java/wheattrack/http/HttpCodecTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wheattrack.testing.TraceRecorder;
 
-/** Decoding of messages from bytes that arrive one at a time, and encoding. */
+/** Decodes messages from bytes that arrive one at a time, and encodes messages. */
 class HttpCodecTest {
   private static final String POST_LINE = "POST /buy HTTP/1.1\r\n";
   private static final String POST_WITH_HOST = POST_LINE + "Host: a\r\n";
@@ -25,7 +25,7 @@
   private static final String CHUNKED = "Transfer-Encoding: chunked\r\n\r\n";
   private static final byte[] NO_BYTES = {};
 
-  /** The limit on bodies, in bytes, where long ones are tested. */
+  /** The limit on bodies, in bytes, in the tests of long bodies. */
   private static final long MAX_BODY = 150_000;
 
   private final TraceRecorder recorder = new TraceRecorder();
@@ -38,14 +38,14 @@
     return new String(bytes, StandardCharsets.ISO_8859_1);
   }
 
-  /** The text on one line, cut off where it is long, with its full length. */
+  /** The text on one line; a long text is cut off and followed by its full length. */
   private static String abbreviate(String text) {
     String plain = text.replace("\r\n", "|").replace("\n", "!");
     return plain.length() > 80 ? plain.substring(0, 70) + "... (" + plain.length() + ")" : plain;
   }
 
   /**
-   * How far a long body was streamed.
+   * The result of streaming a long body.
    *
    * @param end the index after its last character in the text
    * @param summary the number of bytes, and whether the body is complete
@@ -99,8 +99,8 @@
   }
 
   /**
-   * A long message is returned with the first part of its body; the rest is streamed, and the next
-   * message follows.
+   * A long message is returned with the first part of its body; the rest is streamed, after which
+   * the next message is decoded.
    */
   @Test
   void streamsLongBodies() throws IOException {
@@ -180,7 +180,7 @@
     recorder.say("  bad, " + e.status() + ": " + e.getMessage());
   }
 
-  /** The rest of a body as the expected traces show it: its length, or a code of its framing. */
+  /** The rest of a body as shown in the expected traces: its length, or a code for its framing. */
   private static long remainingBody(Object message) {
     BodyFraming framing =
         message instanceof Request request
@@ -234,7 +234,7 @@
     }
   }
 
-  /** Records how each text is decoded, by a decoder of its own. */
+  /** Records how each text is decoded by a new decoder, and compares that with a trace. */
   private void decodesAsInTrace(
       String traceName, Supplier<Decoder<?>> newDecoder, List<String> texts) throws IOException {
     for (String text : texts) {
@@ -363,7 +363,7 @@
         Arguments.of(BodyFraming.UNTIL_CLOSE, "|hi"));
   }
 
-  /** The head of a message gives the framing of its complete body, of which the rest follows. */
+  /** The head of a message gives the framing of the complete body, including the rest of it. */
   @ParameterizedTest
   @MethodSource("framingsOfRest")
   void encodesFramingOfCompleteBody(BodyFraming remainingBody, String expectedEnd) {
