--- a/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
+++ b/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
@@ -9,6 +9,8 @@
 /** The order of steps on the event loop. */
 class EventLoopTest {
   private static final int SLOW_TASKS = 200;
+  private static final long SLOW_TASK_NANOS = 100_000;
+  private static final long STALL_MILLIS = 100;
 
   private final StringBuilder trace = new StringBuilder();
   private final EventLoop loop = new EventLoop();
@@ -20,7 +22,7 @@
 
   private void runSlowTask() {
     slowTasksRun++;
-    long end = System.nanoTime() + 100_000;
+    long end = System.nanoTime() + SLOW_TASK_NANOS;
     while (System.nanoTime() < end) {
       Thread.onSpinWait();
     }
@@ -31,9 +33,9 @@
    * loop.
    */
   private void stallThenFail() {
-    record("stalls for 100 ms");
+    record("stalls for " + STALL_MILLIS + " ms");
     try {
-      Thread.sleep(100);
+      Thread.sleep(STALL_MILLIS);
     } catch (InterruptedException e) {
       record("interrupted");
     }
--- a/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
+++ b/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
@@ -14,6 +14,9 @@
  * {@link SlotTable} and {@link BackendIndex}: which indexes they assign, and when they reuse them.
  */
 class IndexTablesTest {
+  private static final int BACKENDS = 60;
+  private static final int REPLACEMENTS = 500;
+
   private static final class TestBackend extends BackendIndex.Backend<String> {
     private boolean isBusy;
 
@@ -84,19 +87,19 @@
   void reusesIndexesOfReplacedBackends() {
     BackendIndex<String, TestBackend> backends = new BackendIndex<>(TestBackend::new);
     int maxIndex = 0;
-    for (int round = 0; round < 500; round++) {
+    for (int round = 0; round < REPLACEMENTS; round++) {
       Set<String> ids = new HashSet<>();
-      for (int i = 0; i < 60; i++) {
+      for (int i = 0; i < BACKENDS; i++) {
         TestBackend backend = backends.getOrAdd("s" + round + "-" + i);
         backends.markListed(backend);
-        backend.isBusy = i == round % 60;
+        backend.isBusy = i == round % BACKENDS;
         ids.add(backend.id());
         maxIndex = Math.max(maxIndex, backend.index());
       }
       backends.listedExcept(ids).forEach(backends::markUnlisted);
       if (round > 1) {
         int oldRound = round - 2;
-        backends.find("s" + oldRound + "-" + oldRound % 60).isBusy = false;
+        backends.find("s" + oldRound + "-" + oldRound % BACKENDS).isBusy = false;
       }
     }
     assertTrue(maxIndex <= 122, "highest index " + maxIndex);
