--- a/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
+++ b/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
@@ -9,6 +9,8 @@
 /** The order of steps on the event loop. */
 class EventLoopTest {
   private static final int SLOW_TASKS = 200;
+  private static final long SLOW_TASK_NANOS = 100_000;
+  private static final long STALL_MILLIS = 100;
 
   private final StringBuilder trace = new StringBuilder();
   private final EventLoop loop = new EventLoop();
@@ -20,22 +22,25 @@
 
   private void runSlowTask() {
     slowTasksRun++;
-    long end = System.nanoTime() + 100_000;
+    long end = System.nanoTime() + SLOW_TASK_NANOS;
     while (System.nanoTime() < end) {
       Thread.onSpinWait();
     }
   }
 
-  /** Blocks the loop for longer than the delay of a timer, while tasks are queued behind it. */
+  /**
+   * Blocks the loop until a timer is late, then queues tasks and fails, which must not end the
+   * loop.
+   */
   private void stallThenFail() {
-    record("stalls for 100 ms");
+    record("stalls for " + STALL_MILLIS + " ms");
     try {
-      Thread.sleep(100);
+      Thread.sleep(STALL_MILLIS);
     } catch (InterruptedException e) {
       record("interrupted");
     }
     loop.execute(() -> record("response that arrived during the stall"));
-    for (int i = 0; i < SLOW_TASKS; i++) { // together they take longer than catching up may
+    for (int i = 0; i < SLOW_TASKS; i++) { // together they take longer than timers may wait
       loop.execute(this::runSlowTask);
     }
     throw new IllegalStateException("a failed step must not end the loop");
@@ -54,7 +59,7 @@
     loop.execute(this::stallThenFail);
   }
 
-  /** After a stall, what has arrived is handled, for a limited time, before any timer runs. */
+  /** After a stall, late timers wait for queued tasks, but only for a limited time. */
   @Test
   void runsTasksBeforeLateTimersAfterStall() {
     loop.execute(this::start);
