--- a/lab/src/main/java/wheattrack/lab/model/ClientOperation.java
+++ b/lab/src/main/java/wheattrack/lab/model/ClientOperation.java
@@ -3,7 +3,7 @@
 import wheattrack.api.RequestClass;
 import wheattrack.lab.load.RequestPlan;
 
-/** What a client wants, over the first request for it and all retries. */
+/** One operation of a client: its first request and all retries of it. */
 public final class ClientOperation {
   private final long id;
   private final long startedAt;
@@ -21,7 +21,7 @@
     this.zone = zone;
   }
 
-  /** Its number in the ledger. */
+  /** The number of this operation in the ledger. */
   public long id() {
     return id;
   }
@@ -42,7 +42,7 @@
     return zone;
   }
 
-  /** How many requests have been tried for it, including those that found no proxy. */
+  /** The number of requests made so far, including those for which no proxy was available. */
   int attempts() {
     return attempts;
   }
@@ -51,7 +51,7 @@
     attempts++;
   }
 
-  /** Whether it has succeeded or its client has gone. */
+  /** Whether it has succeeded or its client has disconnected. */
   boolean hasEnded() {
     return ended;
   }
--- a/lab/src/main/java/wheattrack/lab/model/ClientPopulation.java
+++ b/lab/src/main/java/wheattrack/lab/model/ClientPopulation.java
@@ -13,7 +13,8 @@
 
 /**
  * The clients, and the front load balancer that distributes their requests over the proxies of
- * their zone, on either clock. Runs on the run's thread only.
+ * their zone; the same for virtual and real time. Times are tenths of a millisecond from the start
+ * of the run. Runs on the run's thread only.
  */
 public final class ClientPopulation {
   private final RunEnvironment environment;
@@ -22,7 +23,7 @@
   private final ArrivalProcess arrivals;
   private final Clients behaviour;
 
-  /** For each zone the proxies that the front load balancer takes to be up. */
+  /** For each zone, the proxies that the front load balancer sends requests to. */
   private final List<List<ProxyHandle>> proxiesByZone = new ArrayList<>();
 
   private long operationCount;
@@ -48,7 +49,7 @@
     return arrivals;
   }
 
-  /** Informs the front load balancer that a proxy can be sent to, or that it is dead. */
+  /** Makes the front load balancer use a proxy, or stop using it. */
   public void setProxyAvailable(ProxyHandle proxy, boolean available) {
     List<ProxyHandle> proxies = proxiesByZone.get(proxy.zone());
     proxies.remove(proxy);
@@ -57,7 +58,10 @@
     }
   }
 
-  /** Schedules the next operation, which schedules the one after it, until the scenario ends. */
+  /**
+   * Schedules the start of the next operation, which then schedules the one after it; none starts
+   * at or after the end of the scenario's duration.
+   */
   public void scheduleNextArrival() {
     double arrival = arrivals.nextArrival();
     if (arrival < environment.scenario().duration()) {
@@ -83,7 +87,10 @@
     scheduleNextArrival();
   }
 
-  /** A proxy of the zone, or of the next one that has any; null where there is none at all. */
+  /**
+   * Draws an available proxy of the zone or, if it has none, of the next zone that has one; null if
+   * no proxy is available.
+   */
   private ProxyHandle pickProxy(int zone) {
     for (int offset = 0; offset < proxiesByZone.size(); offset++) {
       List<ProxyHandle> available = proxiesByZone.get((zone + offset) % proxiesByZone.size());
@@ -113,8 +120,8 @@
     operation.waitFor(request);
     proxy.submit(request);
     if (random.nextBoolean(behaviour.impatientShare())) {
-      long patience = (long) (random.nextDouble() * timeout);
-      environment.schedule(patience, () -> disconnect(operation, request, proxy));
+      long disconnectDelay = (long) (random.nextDouble() * timeout);
+      environment.schedule(disconnectDelay, () -> disconnect(operation, request, proxy));
     }
   }
 
@@ -126,7 +133,7 @@
     }
   }
 
-  /** A request reached no proxy: there was nothing to connect to. */
+  /** A request reached no proxy: its connection could not be opened. */
   public void connectionRefused(ClientRequest request) {
     if (request.isOpen()) {
       request.operation().stopWaiting();
@@ -135,9 +142,9 @@
   }
 
   /**
-   * A client has received a final answer, or its connection ended without one.
+   * A client has received a final answer, or its connection ended without an answer.
    *
-   * @param retryAfter the proxy's advice how long to wait, 0 for none
+   * @param retryAfter the Retry-After time of the answer, 0 for none
    */
   public void answered(ClientRequest request, Answer answer, long retryAfter) {
     ClientOperation operation = request.operation();
@@ -146,7 +153,7 @@
     }
     environment.record(LedgerRecord.answered(environment.now(), request.requestId(), answer));
     if (!request.isOpen()) {
-      return; // a second answer; the referee learns of it from the ledger
+      return; // a second answer: the ledger entry above is all that the referee needs
     }
     operation.stopWaiting();
     if (answer == Answer.DONE) {
@@ -158,8 +165,9 @@
   }
 
   /**
-   * Retries after the advised delay, if this client follows the advice, or else after an
-   * exponential backoff with jitter; not past the operation's timeout.
+   * Schedules a retry after the Retry-After time, if there is one and this client respects it, or
+   * else after an exponential backoff with jitter. Does nothing if the retry would start after the
+   * operation's timeout or exceed the number of retries.
    */
   private void scheduleRetry(ClientOperation operation, long retryAfter) {
     if (operation.attempts() > behaviour.retries() || operation.hasEnded()) {
@@ -170,8 +178,8 @@
     if (retryAfter > 0 && random.nextBoolean(behaviour.retryAfterShare())) {
       delay = retryAfter;
     }
-    long patienceEnd = operation.startedAt() + operation.requestClass().clientTimeout();
-    if (environment.now() + delay < patienceEnd) {
+    long operationDeadline = operation.startedAt() + operation.requestClass().clientTimeout();
+    if (environment.now() + delay < operationDeadline) {
       environment.schedule(delay, () -> sendRequest(operation));
     }
   }
--- a/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
+++ b/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
@@ -9,15 +9,19 @@
 import wheattrack.lab.referee.LedgerRecord.State;
 
 /**
- * The endpoint list, on either clock: its events reach proxies late, and it may be down, stale or
- * empty. How events are delivered is left to the clock's own subclass. Runs on the run's thread
- * only.
+ * The discovery service's endpoint list: its events reach proxies after a delay, and it may be
+ * down, stale or empty. Subclasses deliver the events, on the virtual clock or on sockets. Times
+ * are tenths of a millisecond from the start of the run. Runs on the run's thread only.
  */
 public abstract class EndpointRegistry {
-  /** One entry of the list, or a change of it. */
+  /**
+   * One entry of the list, or a change of one.
+   *
+   * @param startedAt when the backend started, or {@link #LONG_AGO}
+   */
   public record EndpointEvent(int backend, State state, long startedAt) {}
 
-  /** The start time of a backend of which the list says only that it started long ago. */
+  /** The start time of a backend that started before the run. */
   public static final long LONG_AGO = BackendIndex.LONG_AGO;
 
   private final RunEnvironment environment;
@@ -28,7 +32,7 @@
   private boolean stale;
   private boolean empty;
 
-  /** Creates a list of all backends of the run, as ready and started long ago. */
+  /** Creates a list of all backends of the run, each ready and started before the run. */
   protected EndpointRegistry(RunEnvironment environment) {
     this.environment = environment;
     random = environment.randomStream("list");
@@ -38,7 +42,7 @@
     }
   }
 
-  /** The complete list as it would be sent now. */
+  /** The complete list that a proxy would receive now. */
   protected final List<EndpointEvent> snapshot() {
     if (empty) {
       return List.of();
@@ -46,12 +50,12 @@
     return stale ? staleEndpoints : new ArrayList<>(endpoints.values());
   }
 
-  /** Draws the time that an event takes to reach a proxy. */
+  /** Draws the delay of one event on its way to a proxy. */
   protected final long drawDeliveryDelay() {
     return Math.round(environment.scenario().discovery().delay() * random.nextJitterFactor());
   }
 
-  /** Whether nothing is sent at present. */
+  /** Whether the list is down, so that nothing is sent. */
   protected final boolean isDown() {
     return down;
   }
@@ -62,10 +66,10 @@
   /** Sends the complete list to all proxies that watch it. */
   protected abstract void publishSnapshot();
 
-  /** The list goes down: all watches are lost. */
+  /** Called when the list goes down, which interrupts all watches. */
   protected abstract void interruptWatches();
 
-  /** The list learns of a backend's new state. */
+  /** Updates the state of a backend and publishes the change, unless a fault prevents that. */
   public void update(int backend, State state, long startedAt) {
     EndpointEvent event = new EndpointEvent(backend, state, startedAt);
     if (state == State.GONE) {
@@ -89,7 +93,10 @@
     }
   }
 
-  /** Freezes the list: while it is stale it sends what it knew when that began. */
+  /**
+   * Makes the list stale or current again. A stale list sends the entries that it had when it
+   * became stale.
+   */
   public final void setStale(boolean isStale) {
     stale = isStale;
     staleEndpoints = new ArrayList<>(endpoints.values());
@@ -98,7 +105,7 @@
     }
   }
 
-  /** Makes the list send no entries at all, or all of them again. */
+  /** Makes the list send no entries, or all of them again. */
   public final void setEmpty(boolean isEmpty) {
     empty = isEmpty;
     if (!down) {
@@ -107,16 +114,17 @@
   }
 
   /**
-   * To be called right before a backend's process dies: the list notices that after a while, unless
-   * the backend is up again by then.
+   * Schedules the removal of a backend whose process is about to die, after the scenario's
+   * detection time, unless the backend is up again by then. Must be called before the death, which
+   * increments the backend's incarnation.
    */
-  public void scheduleDeathNotice(SimulatedBackend backend) {
+  public void scheduleFailureDetection(SimulatedBackend backend) {
     int incarnation = backend.incarnation() + 1;
     environment.schedule(
         environment.scenario().discovery().deathNotice(),
         () -> {
-          boolean isSame = backend.incarnation() == incarnation;
-          if (isSame && backend.state() != SimulatedBackend.State.UP) {
+          boolean isSameIncarnation = backend.incarnation() == incarnation;
+          if (isSameIncarnation && backend.state() != SimulatedBackend.State.UP) {
             update(backend.index(), State.GONE, 0);
           }
         });
--- a/lab/src/main/java/wheattrack/lab/model/FaultTimeline.java
+++ b/lab/src/main/java/wheattrack/lab/model/FaultTimeline.java
@@ -13,12 +13,15 @@
 import wheattrack.lab.scenario.Scenario;
 import wheattrack.lab.scenario.Scenario.Hints;
 
-/** Plays a scenario's faults, on either clock. Runs on the run's thread only. */
+/**
+ * Begins and ends a scenario's faults at their times, on the virtual clock or on sockets. Times are
+ * tenths of a millisecond. Runs on the run's thread only.
+ */
 public final class FaultTimeline {
   /** Time from the start of a backend's drain until its process ends. */
   private static final long DRAIN_TIME = 2 * Scenario.SECOND;
 
-  /** Time from the end of a backend's process until another one takes its place. */
+  /** Time from the end of a backend's process until its replacement starts. */
   private static final long REPLACEMENT_DELAY = Scenario.SECOND;
 
   private final RunEnvironment environment;
@@ -65,7 +68,7 @@
     return List.of();
   }
 
-  /** The indexes that a fault hits; they are drawn without repeats. */
+  /** The indexes of the targets of a fault, drawn without replacement. */
   private List<Integer> chooseTargets(Fault fault, int population, RandomStream random) {
     Fault.Target target = fault.target();
     if (target.index() >= 0) {
@@ -133,7 +136,7 @@
       case HINT_INVERTED -> generator.setHintModel(HintModel.INVERTED);
       case HINT_MIXED -> generator.setMixedUnitShare(magnitude);
       case HINT_ABSURD -> generator.setNextHint(magnitude * Scenario.MILLISECOND);
-      default -> throw new IllegalStateException("unknown fault " + fault.kind());
+      default -> throw new IllegalStateException("no action for fault kind " + fault.kind());
     }
   }
 
@@ -157,7 +160,9 @@
     }
   }
 
-  /** Puts the scenario's own hints back; faults that end by themselves need nothing. */
+  /**
+   * Restores the scenario's own hints. Does nothing for kinds of faults that end without an action.
+   */
   private void endHintFault(Fault fault) {
     RequestGenerator generator = environment.clients().requestGenerator();
     Hints hints = environment.scenario().hints();
@@ -169,14 +174,14 @@
       case HINT_CONSTANT, HINT_RANDOM, HINT_INVERTED ->
           generator.setHintModel(HintModel.PROPORTIONAL);
       default -> {
-        // pauses, shrinking, replacement and the single absurd hint end by themselves
+        // PAUSE, SHRINK, REPLACE and HINT_ABSURD need no action at their end
       }
     }
   }
 
   /**
-   * Kills a proxy; the clients' front load balancer notices that later, unless it is up again by
-   * then.
+   * Kills a proxy. The clients' front load balancer stops using it after its detection time, unless
+   * the proxy has been started again by then.
    */
   private void killProxy(ProxyHandle proxy) {
     if (proxy.isUp()) {
@@ -201,12 +206,12 @@
   }
 
   private void crash(SimulatedBackend backend) {
-    environment.registry().scheduleDeathNotice(backend);
+    environment.registry().scheduleFailureDetection(backend);
     backend.crash();
   }
 
   private void vanish(SimulatedBackend backend) {
-    environment.registry().scheduleDeathNotice(backend);
+    environment.registry().scheduleFailureDetection(backend);
     backend.vanish();
   }
 
@@ -232,7 +237,12 @@
     }
   }
 
-  /** Backends drain one after the other over the fault's duration, and each ends a while later. */
+  /**
+   * Drains the backends one after the other, spread evenly over the fault's duration, and ends each
+   * of them {@link #DRAIN_TIME} after its drain began.
+   *
+   * @param afterwards runs with the index of each backend after its end
+   */
   private void terminateInTurn(Fault fault, List<Integer> targets, IntConsumer afterwards) {
     for (int position = 0; position < targets.size(); position++) {
       int backendIndex = targets.get(position);
@@ -255,8 +265,9 @@
   }
 
   /**
-   * Starts a backend cold: under its old id with a later start time, or as a replacement under an
-   * id that no proxy has seen.
+   * Starts a backend cold, unless it is up or has collapsed.
+   *
+   * @param asReplacement whether it starts under a new id; otherwise it restarts under its old one
    */
   private void start(int backendIndex, boolean asReplacement) {
     SimulatedBackend backend = environment.backend(backendIndex);
--- a/lab/src/main/java/wheattrack/lab/model/JobQueue.java
+++ b/lab/src/main/java/wheattrack/lab/model/JobQueue.java
@@ -13,18 +13,18 @@
 
 /**
  * The attempts that one backend has queued or is executing on its cores, in order of arrival. Times
- * are tenths of a millisecond of the run. Runs on the run's thread only.
+ * are tenths of a millisecond from the start of the run. Runs on the run's thread only.
  */
 final class JobQueue {
   /** An attempt that is queued or in progress. */
   static final class Job {
-    private final BackendVisit attempt;
+    private final ReceivedAttempt attempt;
     private final double work;
     private final long arrivedAt;
     private TimerQueue.Timer completionTimer;
     private long completesAt;
 
-    private Job(BackendVisit attempt, double work, long arrivedAt) {
+    private Job(ReceivedAttempt attempt, double work, long arrivedAt) {
       this.attempt = attempt;
       this.work = work;
       this.arrivedAt = arrivedAt;
@@ -45,7 +45,7 @@
    * Creates the empty queue of a backend.
    *
    * @param isServing whether the backend may start jobs now
-   * @param speedFactor the part of its full speed that the backend has now
+   * @param speedFactor the backend's present speed as a fraction of its full speed
    */
   JobQueue(
       RunEnvironment environment,
@@ -60,8 +60,8 @@
     this.speedFactor = speedFactor;
   }
 
-  /** Creates a job for an attempt that arrives now; it ends if its connection is closed. */
-  Job create(BackendVisit attempt, double work) {
+  /** Creates a job for an attempt that arrives now; it is cancelled if its connection is closed. */
+  Job create(ReceivedAttempt attempt, double work) {
     Job job = new Job(attempt, work, environment.now());
     attempt.onConnectionClosed(() -> cancel(job));
     return job;
@@ -72,7 +72,7 @@
     return queue.size() >= group.queueCapacity() && running.size() >= group.cores();
   }
 
-  /** Queues a job, and starts it at once if a core is free. */
+  /** Queues a job, and starts it immediately if a core is free. */
   void add(Job job) {
     queue.add(job);
     startQueued();
@@ -85,7 +85,7 @@
         && !queue.isEmpty()) {
       Job job = queue.poll();
       if (environment.now() >= job.attempt.deadline()) {
-        job.attempt.reply(AttemptOutcome.FULL); // too late already, and not started
+        job.attempt.reply(AttemptOutcome.FULL); // its deadline has passed, so it is not started
       } else {
         start(job);
       }
@@ -119,7 +119,7 @@
     startQueued();
   }
 
-  /** The connection of a job was closed: it does not wait or run any longer. */
+  /** Removes a job whose connection was closed, whether it is queued or in progress. */
   private void cancel(Job job) {
     if (!queue.remove(job) && running.remove(job)) {
       environment.cancel(job.completionTimer);
@@ -128,7 +128,7 @@
   }
 
   /** Removes all jobs, those in progress first, and passes the attempt of each to the action. */
-  void removeAll(Consumer<BackendVisit> action) {
+  void removeAll(Consumer<ReceivedAttempt> action) {
     List<Job> jobs = new ArrayList<>(running);
     jobs.addAll(queue);
     running.clear();
@@ -139,12 +139,12 @@
     }
   }
 
-  /** Stops the jobs in progress where they are; the backend serves no longer. */
+  /** Stops the jobs in progress; {@link #resume} ends them. */
   void suspend() {
     running.forEach(job -> environment.cancel(job.completionTimer));
   }
 
-  /** The backend serves again: the jobs in progress are lost, those queued are started. */
+  /** Resets the jobs that {@link #suspend} stopped, and starts queued ones. */
   void resume() {
     List<Job> lostJobs = List.copyOf(running);
     running.clear();
@@ -152,7 +152,7 @@
     startQueued();
   }
 
-  /** Starts no job for a time, by which those in progress are delayed. */
+  /** Starts no job for this duration, and delays the jobs in progress by it. */
   void pauseFor(long duration) {
     pausedUntil = Math.max(pausedUntil, environment.now() + duration);
     for (Job job : running) {
--- a/lab/src/main/java/wheattrack/lab/model/ProxyHandle.java
+++ b/lab/src/main/java/wheattrack/lab/model/ProxyHandle.java
@@ -4,8 +4,8 @@
 import wheattrack.lab.referee.LedgerRecord;
 
 /**
- * A proxy as clients and the fault timeline see it: an address to send requests to, and a process
- * that can be killed. Runs on the run's thread only.
+ * A proxy as clients and the fault timeline use it: they send requests to it, and start, pause and
+ * kill its process. Runs on the run's thread only.
  */
 public abstract class ProxyHandle {
   private final RunEnvironment environment;
@@ -31,7 +31,7 @@
     return zone;
   }
 
-  /** Whether its process can be sent to. */
+  /** Whether its process accepts requests. */
   public final boolean isUp() {
     return up;
   }
@@ -41,7 +41,7 @@
     return incarnation;
   }
 
-  /** Starts its process; the clients' front load balancer learns once it can be sent to. */
+  /** Starts its process, and makes the clients' front load balancer use it once it is up. */
   public abstract void start();
 
   /** Kills its process. */
@@ -52,16 +52,16 @@
     stopProcess();
   }
 
-  /** Ends its process at once; it is down already, in an incarnation of its own. */
+  /** Ends its process immediately; called after the proxy was marked down. */
   protected abstract void stopProcess();
 
-  /** To be called as its process starts. */
+  /** Must be called when its process starts. */
   protected final void beginIncarnation() {
     incarnation++;
   }
 
-  /** To be called once it can be sent to. */
-  protected final void becomeUp() {
+  /** Must be called once its process accepts requests. */
+  protected final void markUp() {
     up = true;
     environment.record(LedgerRecord.proxyChanged(environment.now(), index, true));
   }
@@ -78,13 +78,13 @@
         });
   }
 
-  /** Stops its process where it stands, or lets it go on. */
+  /** Pauses its process, or resumes it. */
   public abstract void setPaused(boolean paused);
 
-  /** Lets its clock be off by this from its next start on, in milliseconds. */
+  /** Sets by how many milliseconds its clock is ahead, from its next start on. */
   public abstract void setClockSkew(double millis);
 
-  /** Sends it a request; the clients receive the answer, or a refused connection. */
+  /** Sends it a request; {@link ClientPopulation} receives the answer or a refused connection. */
   public abstract void submit(ClientRequest request);
 
   /** The client of a request disconnects. */
--- a/lab/src/main/java/wheattrack/lab/model/RunEnvironment.java
+++ b/lab/src/main/java/wheattrack/lab/model/RunEnvironment.java
@@ -11,9 +11,9 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * One run of a scenario: the backends, endpoint list, clients and proxies, and what they need of
- * the run's clock and links. Models of backends, clients and faults are the same on the virtual
- * clock and on sockets. Times are tenths of a millisecond from the start of the run. One thread.
+ * One run of a scenario: its backends, endpoint list, clients and proxies, and the clock and links
+ * that they use. The models of backends, clients and faults are the same on the virtual clock and
+ * on sockets. Times are tenths of a millisecond from the start of the run. Runs in one thread.
  */
 public abstract class RunEnvironment {
   private final Scenario scenario;
@@ -24,7 +24,7 @@
   private final ClientPopulation clients;
   private EndpointRegistry registry;
 
-  /** Creates the backends and clients; registry and proxies are the subclass's to add. */
+  /** Creates the backends and clients; the subclass must add the endpoint list and the proxies. */
   protected RunEnvironment(Scenario scenario, long seed, Consumer<LedgerRecord> ledger) {
     this.scenario = scenario;
     this.seed = seed;
@@ -40,12 +40,12 @@
     this.registry = registry;
   }
 
-  /** Adds the proxy of the next index, while the run is set up. */
+  /** Adds the proxy with the next index, while the run is set up. */
   protected final void addProxy(ProxyHandle proxy) {
     proxies.add(proxy);
   }
 
-  /** What is played. */
+  /** The scenario of this run. */
   public final Scenario scenario() {
     return scenario;
   }
@@ -53,26 +53,29 @@
   /** The time of the run. */
   public abstract long now();
 
-  /** Runs an action once, after a delay; at once but not within this call where it is 0 or less. */
+  /**
+   * Runs an action once, after a delay. With a delay of 0 or less it runs without a wait, but not
+   * within this call.
+   */
   public abstract TimerQueue.Timer schedule(long delay, Runnable action);
 
   /** Cancels an action; no effect on one that has run or was cancelled, or on null. */
   public abstract void cancel(TimerQueue.Timer timer);
 
-  /** Writes a line of the ledger. */
+  /** Writes an entry of the ledger. */
   public final void record(LedgerRecord entry) {
     ledger.accept(entry);
   }
 
-  /** A fault of the links to this backend begins (active) or ends. */
+  /** Begins (active) or ends a fault of all links to a backend. */
   public abstract void setLinkFault(Fault fault, int backend, boolean active);
 
-  /** An operation starts that was planned for a moment; for runs that measure their lateness. */
+  /** Called when an operation starts, so that runs in real time can measure how late it is. */
   public void arrivalStarted(double plannedAt) {
-    // on the virtual clock nothing is late
+    // on the virtual clock operations are never late
   }
 
-  /** The random draws of one part of the run, from the run's seed. */
+  /** A new random stream for the part of the run with this name, from the run's seed. */
   public final RandomStream randomStream(String name) {
     return new RandomStream(seed, name);
   }
@@ -107,7 +110,7 @@
     return clients;
   }
 
-  /** The latest time at which a client of the scenario may still wait for an answer. */
+  /** The latest time at which a client may still wait for an answer. */
   protected final long lastDeadline() {
     long longestTimeout =
         scenario.workloads().stream()
--- a/lab/src/main/java/wheattrack/lab/model/SimulatedBackend.java
+++ b/lab/src/main/java/wheattrack/lab/model/SimulatedBackend.java
@@ -7,13 +7,13 @@
 import wheattrack.lab.scenario.Scenario.BackendGroup;
 
 /**
- * One backend, on either clock: cores, a queue, a cold start, and the faults that may hit it. Times
- * are tenths of a millisecond of the run. Runs on the run's thread only.
+ * One backend, the same on the virtual clock and on sockets: its cores, queue, cold start and
+ * faults. Times are tenths of a millisecond from the start of the run. Runs on the run's thread only.
  */
 public final class SimulatedBackend {
   /**
-   * What it does with what arrives: DEAD refuses connections, SILENT drops everything, HUNG accepts
-   * requests and answers none.
+   * How it treats connections and requests: UP serves them, DEAD refuses connections, SILENT drops
+   * everything without an answer, HUNG accepts requests and answers none.
    */
   public enum State {
     UP,
@@ -22,12 +22,17 @@
     HUNG
   }
 
-  /** Standard deviation of the logarithm of the work of equal requests. */
+  /** Standard deviation of the logarithm of the noise on a request's work. */
   private static final double WORK_NOISE = 0.2;
 
-  /** Time that a request takes which fails. */
+  /** Time until a failing request is answered. */
   private static final long ERROR_TIME = 10;
 
+  /** Factors of a replacement's rank in the order of ids; they move it away from its index. */
+  private static final long RANK_PER_INDEX = 31;
+
+  private static final long RANK_PER_REPLACEMENT = 17;
+
   private final RunEnvironment environment;
   private final int index;
   private final int zone;
@@ -66,7 +71,7 @@
     stateListener.run();
   }
 
-  /** Its number among the backends, from 0; a replacement keeps it. */
+  /** Its number among the backends, from 0; a replacement has the same one. */
   public int index() {
     return index;
   }
@@ -76,22 +81,22 @@
     return zone;
   }
 
-  /** What it shares with others of its kind. */
+  /** The group of equal backends to which it belongs. */
   public BackendGroup group() {
     return group;
   }
 
-  /** What it does with what arrives. */
+  /** How it treats connections and requests now. */
   public State state() {
     return state;
   }
 
-  /** Whether it refuses new requests because it is to end. */
+  /** Whether it is draining, and so refuses new requests. */
   public boolean isDraining() {
     return draining;
   }
 
-  /** Whether it collapsed under its load while it was cold; it does not start again. */
+  /** Whether it has collapsed under overload while it was cold; then it never starts again. */
   public boolean isCollapsed() {
     return collapsed;
   }
@@ -101,32 +106,38 @@
     return startedAt;
   }
 
-  /** Whether its last start was a cold one, be it long ago. */
+  /** Whether its last start was a cold one; it may have reached its full speed since. */
   public boolean isColdStarted() {
     return coldStarted;
   }
 
   /**
-   * The id under which the endpoint list names it, greater than 0; a replacement has another one,
-   * elsewhere in the order of ids.
+   * Its id in the endpoint list, greater than 0. A replacement has a new id, at another position in
+   * the order of ids.
    */
   public long id() {
     int backendCount = environment.scenario().backendCount();
-    long rank = replacements == 0 ? index : (index * 31L + replacements * 17L) % backendCount;
+    long rank = replacements == 0 ? index : (index * RANK_PER_INDEX + replacements * RANK_PER_REPLACEMENT) % backendCount;
     return (rank * backendCount + replacements) * backendCount + index + 1;
   }
 
-  /** Makes its next start that of another backend in its place. */
+  /** Makes its next start that of a replacement, with a new id. */
   public void replace() {
     replacements++;
   }
 
-  /** Changes each time its process or machine fails; connections of earlier ones are broken. */
+  /**
+   * Changes each time its process or machine fails; connections to earlier incarnations are broken.
+   */
   public int incarnation() {
     return incarnation;
   }
 
-  /** Starts its process, unless it has collapsed; cold, it is slow at first. */
+  /**
+   * Starts its process, unless it has collapsed.
+   *
+   * @param cold whether it is slow at first, as the group's cold speed says
+   */
   public void start(boolean cold) {
     if (collapsed) {
       return;
@@ -143,13 +154,13 @@
     return group.cores() * group.speed();
   }
 
-  /** The part of its speed that it has now, up to 1. */
+  /** Its present speed as a fraction of its full speed. */
   private double speedFactor() {
     return coldStarted ? group.speedFactorAt(environment.now() - startedAt) : 1;
   }
 
-  /** Accepts one connection more, or refuses it where it has as many as it can have. */
-  public boolean tryConnect() {
+  /** Accepts one more connection; returns false if it has reached the group's limit. */
+  public boolean tryAcceptConnection() {
     if (connectionCount >= group.maxConnections()) {
       return false;
     }
@@ -157,7 +168,7 @@
     return true;
   }
 
-  /** A connection that it accepted in that incarnation is closed. */
+  /** A connection that was accepted in the given incarnation is closed. */
   public void connectionClosed(int ofIncarnation) {
     if (ofIncarnation == incarnation) {
       connectionCount--;
@@ -165,12 +176,12 @@
   }
 
   /**
-   * An attempt arrives.
+   * Receives an attempt: queues it, answers it or drops it.
    *
    * @param sentAt when its first byte left the proxy
-   * @param onNewConnection whether it is the first one on its connection
+   * @param onNewConnection whether it is the first attempt on its connection
    */
-  public void receive(BackendVisit attempt, long sentAt, boolean onNewConnection) {
+  public void receive(ReceivedAttempt attempt, long sentAt, boolean onNewConnection) {
     if (state == State.SILENT) {
       return;
     }
@@ -205,15 +216,15 @@
         && coldBudget.add(sentAt, work, fullCapacity() * speedFactor, true);
   }
 
-  private void collapse(BackendVisit lastAttempt) {
+  private void collapse(ReceivedAttempt lastAttempt) {
     collapsed = true;
     environment.record(LedgerRecord.backendCollapsed(environment.now(), index));
     lastAttempt.completed(AttemptOutcome.RESET);
-    environment.registry().scheduleDeathNotice(this);
+    environment.registry().scheduleFailureDetection(this);
     crash();
   }
 
-  /** The process dies: connections break. */
+  /** The process dies, which resets its connections. */
   public void crash() {
     incarnation++;
     connectionCount = 0;
@@ -221,7 +232,7 @@
     transitionTo(State.DEAD);
   }
 
-  /** The machine is cut off: it sends nothing more, and nothing reaches it. */
+  /** The machine loses its network: it sends nothing more, and nothing reaches it. */
   public void vanish() {
     incarnation++;
     connectionCount = 0;
@@ -245,7 +256,7 @@
     }
   }
 
-  /** The process pauses for a time, as in a garbage collection; all of its work ends later. */
+  /** Pauses the process, as a garbage collection does: all of its work ends later. */
   public void pauseFor(long duration) {
     if (state == State.UP) {
       jobs.pauseFor(duration);
@@ -257,7 +268,7 @@
     jobs.setSlowdown(factor);
   }
 
-  /** Lets this share of requests fail. */
+  /** Sets the share of requests that fail. */
   public void setFailureShare(double share) {
     failureShare = share;
   }
--- a/lab/src/main/java/wheattrack/lab/sockets/BackendServer.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/BackendServer.java
@@ -16,7 +16,7 @@
 import wheattrack.http.Request;
 import wheattrack.http.RequestDecoder;
 import wheattrack.http.Response;
-import wheattrack.lab.model.BackendVisit;
+import wheattrack.lab.model.ReceivedAttempt;
 import wheattrack.lab.model.SimulatedBackend;
 import wheattrack.lab.scenario.Fault;
 import wheattrack.lab.scenario.Scenario;
@@ -123,7 +123,7 @@
     }
 
     void open() {
-      holdsBackendConnection = silent || backend.tryConnect();
+      holdsBackendConnection = silent || backend.tryAcceptConnection();
       if (holdsBackendConnection) {
         read(decoder.writableBuffer());
       } else {
@@ -211,7 +211,7 @@
     }
 
     /** An attempt on this connection. */
-    private final class Attempt implements BackendVisit {
+    private final class Attempt implements ReceivedAttempt {
       private final long requestId;
       private final long work;
       private final long deadline;
--- a/lab/src/main/java/wheattrack/lab/sockets/ProxyProcess.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/ProxyProcess.java
@@ -126,7 +126,7 @@
   }
 
   private void ready() {
-    becomeUp();
+    markUp();
     run.clients().setProxyAvailable(this, true);
   }
 
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualAttempt.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualAttempt.java
@@ -5,14 +5,14 @@
 import wheattrack.api.Idempotency;
 import wheattrack.api.RequestClass;
 import wheattrack.core.TimerQueue;
-import wheattrack.lab.model.BackendVisit;
+import wheattrack.lab.model.ReceivedAttempt;
 import wheattrack.lab.model.SimulatedBackend;
 
 /**
  * One attempt of a proxy of the virtual run: takes or opens a connection, sends the request and
  * passes the outcome to the policy, each with the delays of the link.
  */
-final class VirtualAttempt implements BackendVisit {
+final class VirtualAttempt implements ReceivedAttempt {
   private final VirtualRun run;
   private final VirtualProxy proxy;
   private final VirtualRequest request;
@@ -107,7 +107,7 @@
       run.schedule(VirtualProxy.CONNECT_TIMEOUT, () -> end(AttemptOutcome.NO_CONNECT));
       return;
     }
-    boolean isRefused = backend.state() == SimulatedBackend.State.DEAD || !backend.tryConnect();
+    boolean isRefused = backend.state() == SimulatedBackend.State.DEAD || !backend.tryAcceptConnection();
     if (isRefused) {
       run.schedule(2 * delay, () -> end(AttemptOutcome.NO_CONNECT));
       return;
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualProxy.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualProxy.java
@@ -62,7 +62,7 @@
   public void start() {
     beginIncarnation();
     endpoints.clearBackends();
-    becomeUp();
+    markUp();
     policy = policyFactory.create(runtime, seed + incarnation(), index());
     endpoints.startPolicy(policy);
     run.clients().setProxyAvailable(this, true);
