--- a/lab/src/main/java/wheattrack/lab/load/ArrivalProcess.java
+++ b/lab/src/main/java/wheattrack/lab/load/ArrivalProcess.java
@@ -5,13 +5,16 @@
 import wheattrack.lab.scenario.Scenario.Load;
 
 /**
- * The times at which clients start operations: an open loop, which does not depend on the answers.
- * Times are tenths of a millisecond from the start of the run, rates are by the second.
+ * The times at which clients start operations: an open loop, in which arrivals do not depend on
+ * answers. Times are tenths of a millisecond from the start of the run, rates are per second.
  */
 public final class ArrivalProcess {
-  /** The part of the time that is in bursts. */
+  /** The share of the time that is in bursts. */
   private static final double BURST_SHARE = 0.25;
 
+  /** The mean time between bursts over the mean length of a burst, by {@link #BURST_SHARE}. */
+  private static final int QUIET_TIME_PER_BURST_TIME = 3;
+
   private final Load load;
   private final RandomStream random;
 
@@ -35,7 +38,7 @@
     rateFactor = factor;
   }
 
-  /** The time of the next arrival; {@link Double#MAX_VALUE} where there are none any more. */
+  /** The time of the next arrival, or {@link Double#MAX_VALUE} if the rate is 0. */
   public double nextArrival() {
     double peakRate = rateFactor * scenarioPeakRate;
     if (peakRate <= 0) {
@@ -47,7 +50,7 @@
       lastArrival += meanGap;
       return lastArrival;
     }
-    // a Poisson process of the peak rate, thinned out to the rate of the moment
+    // thinning: a Poisson process of the peak rate, of which a share of arrivals is accepted
     do {
       lastArrival += random.nextExponential(meanGap);
     } while (random.nextDouble() * peakRate > rateFactor * scenarioRateAt(lastArrival));
@@ -72,10 +75,16 @@
   }
 
   private double burstFactorAt(double time) {
-    return isBurstAt(time) ? 1 + load.swing() : Math.max(0, 1 - load.swing() / 3);
+    return isBurstAt(time)
+        ? 1 + load.swing()
+        : Math.max(0, 1 - load.swing() / QUIET_TIME_PER_BURST_TIME);
   }
 
-  /** Whether a time, which never goes back, lies in a burst; bursts have random lengths. */
+  /**
+   * Whether a time lies in a burst. Bursts and the times between them have random lengths.
+   *
+   * @param time not less than in earlier calls
+   */
   private boolean isBurstAt(double time) {
     while (time >= phaseEnd) {
       inBurst = !inBurst;
--- a/lab/src/main/java/wheattrack/lab/load/RandomStream.java
+++ b/lab/src/main/java/wheattrack/lab/load/RandomStream.java
@@ -5,16 +5,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * The random draws of one part of a run: the same seed and name give the same draws, however many
- * other parts make. Not thread-safe.
+ * The random draws of one part of a run. The same seed and name give the same draws, independently
+ * of the draws of other parts. Not thread-safe.
  */
 public final class RandomStream {
-  /** Draws that are discarded, as streams of similar seeds start alike. */
+  /** Draws that are discarded first, as streams of similar seeds begin with similar values. */
   private static final int WARM_UP_DRAWS = 16;
 
-  /** A constant part of each seed: 2^64 over the golden ratio. */
+  /** A constant part of the generator's state: 2^64 over the golden ratio. */
   private static final long SEED_CONSTANT = 0x9E3779B97F4A7C15L;
 
+  /** Multiplies the seed in one part of the generator's state. */
+  private static final int SEED_MULTIPLIER = 31;
+
   /** The greatest value of a Pareto tail, as a multiple of its mean. */
   private static final double MAX_TAIL_FACTOR = 50;
 
@@ -22,11 +25,18 @@
   private final ZigguratSampler.NormalizedGaussian gaussian;
   private final ZigguratSampler.Exponential exponential;
 
-  /** Creates the stream of the part of this name. */
+  /**
+   * Creates a stream.
+   *
+   * @param seed the seed of the run
+   * @param name the name of the part of the run that makes the draws
+   */
   public RandomStream(long seed, String name) {
     generator =
         RandomSource.XO_SHI_RO_256_PP.create(
-            new long[] {seed, name.hashCode(), SEED_CONSTANT, seed * 31 + name.length()});
+            new long[] {
+              seed, name.hashCode(), SEED_CONSTANT, seed * SEED_MULTIPLIER + name.length()
+            });
     gaussian = ZigguratSampler.NormalizedGaussian.of(generator);
     exponential = ZigguratSampler.Exponential.of(generator);
     for (int i = 0; i < WARM_UP_DRAWS; i++) {
@@ -34,17 +44,17 @@
     }
   }
 
-  /** Uniform from 0 to under 1. */
+  /** A uniform draw from 0 inclusive to 1 exclusive. */
   public double nextDouble() {
     return generator.nextDouble();
   }
 
-  /** A factor to spread delays by: uniform from 0.5 to under 1.5. */
+  /** A factor for the jitter of delays: uniform from 0.5 inclusive to 1.5 exclusive. */
   public double nextJitterFactor() {
     return 0.5 + generator.nextDouble();
   }
 
-  /** Uniform from 0 to under the bound. */
+  /** A uniform draw from 0 inclusive to the bound exclusive. */
   public int nextInt(int bound) {
     return generator.nextInt(bound);
   }
@@ -54,15 +64,18 @@
     return probability > 0 && (probability >= 1 || generator.nextDouble() < probability);
   }
 
-  /** Exponential of this mean. */
+  /** An exponential draw with this mean. */
   public double nextExponential(double mean) {
     return mean * exponential.sample();
   }
 
   /**
-   * Lognormal, or with a Pareto tail, of this mean.
+   * A draw with this mean from a lognormal or a Pareto distribution.
    *
-   * @param coefficientOfVariation the standard deviation over the mean
+   * @param coefficientOfVariation the standard deviation over the mean; with 0 or less the mean is
+   *     returned without a draw
+   * @param heavyTail whether the distribution is Pareto, cut off at {@value #MAX_TAIL_FACTOR} times
+   *     the mean
    */
   public double nextSkewed(double mean, double coefficientOfVariation, boolean heavyTail) {
     if (coefficientOfVariation <= 0) {
@@ -79,12 +92,12 @@
         * nextLogNormal(Math.sqrt(Math.log(1 + coefficientOfVariation * coefficientOfVariation)));
   }
 
-  /** Lognormal of mean 1; sigma is the standard deviation of its logarithm. */
+  /** A lognormal draw with mean 1; sigma is the standard deviation of its logarithm. */
   public double nextLogNormal(double sigma) {
     return sigma == 0 ? 1 : Math.exp(sigma * gaussian.sample() - sigma * sigma / 2);
   }
 
-  /** A seed for something else. */
+  /** Draws a seed for another generator. */
   public long nextSeed() {
     return generator.nextLong();
   }
--- a/lab/src/main/java/wheattrack/lab/load/RequestGenerator.java
+++ b/lab/src/main/java/wheattrack/lab/load/RequestGenerator.java
@@ -6,11 +6,14 @@
 import wheattrack.lab.scenario.Scenario.Workload;
 
 /**
- * Draws what clients want, by the shares of a scenario's workloads. Faults may change the hints in
- * the course of a run. Not thread-safe.
+ * Draws requests by the shares of a scenario's workloads. Faults may change the cost hints during a
+ * run. Not thread-safe.
  */
 public final class RequestGenerator {
-  /** What a hint says of the work: roughly the work, a constant, nothing at all, its inverse. */
+  /**
+   * How a hint depends on the work: PROPORTIONAL is the work with an error, CONSTANT is the same
+   * for all requests, RANDOM is independent of the work, INVERTED is greater for less work.
+   */
   public enum HintModel {
     PROPORTIONAL,
     CONSTANT,
@@ -18,9 +21,12 @@
     INVERTED
   }
 
-  /** The factor between the units of two sorts of clients. */
+  /** The factor between the hint units of two kinds of clients. */
   private static final double MIXED_UNIT_FACTOR = 1000;
 
+  /** Bound of the logarithm of a random hint over the mean work, in both directions. */
+  private static final int MAX_RANDOM_HINT_LOG = 2;
+
   private final List<Workload> workloads;
   private final RandomStream random;
   private final double totalShare;
@@ -43,7 +49,11 @@
     hintScale = scenario.hints().scale();
   }
 
-  /** Sets the share of requests with a hint, in one request class or, below 0, in all of them. */
+  /**
+   * Sets the share of requests with a hint.
+   *
+   * @param requestClass the index of the one request class to set, or below 0 for all of them
+   */
   public void setHintShare(int requestClass, double share) {
     if (requestClass < 0) {
       Arrays.fill(hintShares, share);
@@ -57,23 +67,23 @@
     hintNoise = noise;
   }
 
-  /** Sets the factor by which all hints are off. */
+  /** Sets the factor by which all hints are multiplied. */
   public void setHintScale(double scale) {
     hintScale = scale;
   }
 
-  /** Sets what hints say of the work. */
+  /** Sets how hints depend on the work. */
   public void setHintModel(HintModel model) {
     hintModel = model;
   }
 
-  /** Lets all hints be the same, in tenths of a millisecond. */
+  /** Sets one hint for all requests, in tenths of a millisecond. */
   public void useConstantHints(double hint) {
     hintModel = HintModel.CONSTANT;
     constantHint = hint;
   }
 
-  /** Lets this share of the clients send hints a thousand times as large as the others. */
+  /** Sets the share of requests whose hints are {@link #MIXED_UNIT_FACTOR} times as large. */
   public void setMixedUnitShare(double share) {
     mixedUnitShare = share;
   }
@@ -105,11 +115,14 @@
     return workloads.get(workloads.size() - 1);
   }
 
-  /** Makes the same draws whatever the model, so that runs that differ in hints are comparable. */
+  /**
+   * Makes the same draws for every hint model, so that runs with different models are comparable.
+   */
   private double drawHint(Workload workload, double work) {
     double meanWork = workload.meanWork();
     double error = random.nextLogNormal(hintNoise);
-    double unrelated = meanWork * Math.exp(4 * random.nextDouble() - 2);
+    double unrelated =
+        meanWork * Math.exp(2 * MAX_RANDOM_HINT_LOG * random.nextDouble() - MAX_RANDOM_HINT_LOG);
     double modelled =
         switch (hintModel) {
           case PROPORTIONAL -> work * error;
--- a/lab/src/main/java/wheattrack/lab/load/package-info.java
+++ b/lab/src/main/java/wheattrack/lab/load/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What clients send, and when: arrival times, request plans, and the seeded random streams from
- * which both are drawn.
+ * The load of a run: arrival times, request plans, and the seeded random streams from which both
+ * are drawn.
  */
 package wheattrack.lab.load;
--- a/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
+++ b/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
@@ -21,7 +21,7 @@
    */
   public record EndpointEvent(int backend, State state, long startedAt) {}
 
-  /** The start time of a backend that started before the run. */
+  /** The start time of a backend that has been running since long before the run. */
   public static final long LONG_AGO = BackendIndex.LONG_AGO;
 
   private final RunEnvironment environment;
@@ -32,7 +32,7 @@
   private boolean stale;
   private boolean empty;
 
-  /** Creates a list of all backends of the run, each ready and started before the run. */
+  /** Creates a list of all backends of the run, each ready and {@link #LONG_AGO} started. */
   protected EndpointRegistry(RunEnvironment environment) {
     this.environment = environment;
     random = environment.randomStream("list");
--- a/lab/src/main/java/wheattrack/lab/model/JobQueue.java
+++ b/lab/src/main/java/wheattrack/lab/model/JobQueue.java
@@ -139,7 +139,7 @@
     }
   }
 
-  /** Stops the jobs in progress; {@link #resume} ends them. */
+  /** Stops the jobs in progress until {@link #resume} resets them. */
   void suspend() {
     running.forEach(job -> environment.cancel(job.completionTimer));
   }
--- a/lab/src/main/java/wheattrack/lab/model/ProxyHandle.java
+++ b/lab/src/main/java/wheattrack/lab/model/ProxyHandle.java
@@ -52,7 +52,7 @@
     stopProcess();
   }
 
-  /** Ends its process immediately; called after the proxy was marked down. */
+  /** Ends its process immediately; called when the proxy is marked down already. */
   protected abstract void stopProcess();
 
   /** Must be called when its process starts. */
--- a/lab/src/main/java/wheattrack/lab/model/SimulatedBackend.java
+++ b/lab/src/main/java/wheattrack/lab/model/SimulatedBackend.java
@@ -8,7 +8,8 @@
 
 /**
  * One backend, the same on the virtual clock and on sockets: its cores, queue, cold start and
- * faults. Times are tenths of a millisecond from the start of the run. Runs on the run's thread only.
+ * faults. Times are tenths of a millisecond from the start of the run. Runs on the run's thread
+ * only.
  */
 public final class SimulatedBackend {
   /**
@@ -117,7 +118,10 @@
    */
   public long id() {
     int backendCount = environment.scenario().backendCount();
-    long rank = replacements == 0 ? index : (index * RANK_PER_INDEX + replacements * RANK_PER_REPLACEMENT) % backendCount;
+    long rank =
+        replacements == 0
+            ? index
+            : (index * RANK_PER_INDEX + replacements * RANK_PER_REPLACEMENT) % backendCount;
     return (rank * backendCount + replacements) * backendCount + index + 1;
   }
 
--- a/lab/src/main/java/wheattrack/lab/process/Processes.java
+++ b/lab/src/main/java/wheattrack/lab/process/Processes.java
@@ -15,8 +15,8 @@
   }
 
   /**
-   * Kills a process and waits for its exit, 5 s at most. Returns early with the interrupt flag set
-   * if the thread is interrupted.
+   * Kills a process and waits for its exit, 5 s at most. If the thread is interrupted, this returns
+   * early with the interrupt flag set.
    */
   public static void killAndWait(Process process) {
     process.destroyForcibly();
--- a/lab/src/main/java/wheattrack/lab/process/TemporaryDirectory.java
+++ b/lab/src/main/java/wheattrack/lab/process/TemporaryDirectory.java
@@ -6,11 +6,15 @@
 import java.util.Comparator;
 import java.util.stream.Stream;
 
-/** A new directory that is deleted, with all that is in it, once it is closed. */
+/** A new temporary directory; closing it deletes it with its contents. */
 public final class TemporaryDirectory implements AutoCloseable {
   private final Path path;
 
-  /** Creates a directory whose name begins with this prefix; throws IOException if it can't. */
+  /**
+   * Creates a directory whose name begins with this prefix.
+   *
+   * @throws IOException if it can't be created
+   */
   public TemporaryDirectory(String prefix) throws IOException {
     path = Files.createTempDirectory(prefix);
   }
@@ -20,7 +24,11 @@
     return path;
   }
 
-  /** Deletes the directory; throws IOException if one of its files can't be deleted. */
+  /**
+   * Deletes the directory.
+   *
+   * @throws IOException if one of its files can't be deleted
+   */
   @Override
   public void close() throws IOException {
     try (Stream<Path> files = Files.walk(path)) {
--- a/lab/src/main/java/wheattrack/lab/virtual/BaselinePolicy.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/BaselinePolicy.java
@@ -14,8 +14,9 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * A plain algorithm to compare the proxies' policy with. It retries what never ran or may run
- * again, so that it keeps the rules on effects and on draining backends.
+ * A well-known load-balancing algorithm as a baseline for the proxies' policy. It retries only
+ * attempts that never ran and idempotent requests, so that it obeys the referee's rules on effects
+ * and on draining backends.
  */
 final class BaselinePolicy implements LoadBalancer {
   private static final int NONE = -1;
@@ -57,7 +58,7 @@
 
   @Override
   public void endpointListUpdated(boolean cached) {
-    // nothing is computed ahead
+    // nothing is computed in advance
   }
 
   @Override
@@ -72,7 +73,10 @@
     return accepted;
   }
 
-  /** Picks a ready backend, the avoided one only where it is the only one; NONE without any. */
+  /**
+   * Picks a ready backend by the algorithm; the avoided one only if no other is ready. Returns
+   * {@link #NONE} if no backend is ready.
+   */
   private int pick(int avoided) {
     int best = NONE;
     int count = readyBackends.size();
@@ -102,7 +106,7 @@
     };
   }
 
-  /** One request with its attempts, one after the other. */
+  /** One request, whose attempts are made one after the other. */
   private final class BaselineRequest implements RequestHandle {
     private final PendingRequest request;
     private int attempts;
--- a/lab/src/main/java/wheattrack/lab/virtual/Policies.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/Policies.java
@@ -11,11 +11,12 @@
 import wheattrack.lab.scenario.ProxySettings;
 import wheattrack.lab.scenario.Scenario;
 
-/** The proxies' policy and the baselines that it is compared with, which only the lab has. */
+/** Creates the proxies' policy or one of the baselines that the lab compares it with. */
 public final class Policies {
   /**
-   * The policies: EQUILOAD is the proxies' own, LEAST_IN_FLIGHT takes the backend with the fewest
-   * attempts in flight, POWER_OF_TWO_CHOICES the better of two drawn at random.
+   * The policies: EQUILOAD is the proxies' own, RANDOM and ROUND_ROBIN ignore the load,
+   * LEAST_IN_FLIGHT takes the backend with the fewest attempts in flight, POWER_OF_TWO_CHOICES the
+   * better of two drawn at random.
    */
   public enum Kind {
     EQUILOAD("rules"),
@@ -30,7 +31,7 @@
       this.keyword = keyword;
     }
 
-    /** Its name on the command line. */
+    /** Its keyword on the command line. */
     public String keyword() {
       return keyword;
     }
@@ -38,12 +39,12 @@
 
   private Policies() {}
 
-  /** The names of all policies as the command line has them. */
+  /** The keywords of all policies. */
   public static List<String> names() {
     return Arrays.stream(Kind.values()).map(Kind::keyword).toList();
   }
 
-  /** A factory of policies with the settings that a scenario gives its proxies. */
+  /** A factory that creates policies with the proxies' settings of a scenario. */
   static PolicyFactory factory(Kind kind, Scenario scenario) {
     return (runtime, seed, proxyIndex) -> {
       Settings settings = new Settings(ProxySettings.of(scenario, proxyIndex));
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualAttempt.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualAttempt.java
@@ -10,7 +10,8 @@
 
 /**
  * One attempt of a proxy of the virtual run: takes or opens a connection, sends the request and
- * passes the outcome to the policy, each with the delays of the link.
+ * passes the outcome to the policy, each with the delays of the link. Times are tenths of a
+ * millisecond from the start of the run.
  */
 final class VirtualAttempt implements ReceivedAttempt {
   private final VirtualRun run;
@@ -80,7 +81,7 @@
         });
   }
 
-  /** Whether its first byte has left. */
+  /** Whether its first byte has been sent. */
   boolean isSent() {
     return sent;
   }
@@ -89,7 +90,7 @@
     return createdAt;
   }
 
-  /** Starts it; it ends with TIMEOUT after the timeout unless it has ended before. */
+  /** Starts it; unless it ends before the timeout, it is abandoned with TIMEOUT. */
   void start(long timeout) {
     connections.attemptStarted();
     timeoutTimer = run.schedule(timeout, () -> abandon(AttemptOutcome.TIMEOUT));
@@ -107,7 +108,8 @@
       run.schedule(VirtualProxy.CONNECT_TIMEOUT, () -> end(AttemptOutcome.NO_CONNECT));
       return;
     }
-    boolean isRefused = backend.state() == SimulatedBackend.State.DEAD || !backend.tryAcceptConnection();
+    boolean isRefused =
+        backend.state() == SimulatedBackend.State.DEAD || !backend.tryAcceptConnection();
     if (isRefused) {
       run.schedule(2 * delay, () -> end(AttemptOutcome.NO_CONNECT));
       return;
@@ -127,7 +129,10 @@
     }
   }
 
-  /** Sends the request, unless its key may be forgotten by the time it arrives. */
+  /**
+   * Sends the request, unless the deduplication window of its key is over, as the backend could
+   * then run it a second time.
+   */
   private void send(long delay, boolean onNewConnection) {
     holdsConnection = true;
     backendIncarnation = backend.incarnation();
@@ -157,7 +162,7 @@
     }
   }
 
-  /** Ends it for a reason of the proxy's own; without a byte sent it never ran. */
+  /** Ends it on the proxy's side; with DISCARDED if no byte was sent, as it never ran then. */
   void abandon(AttemptOutcome outcome) {
     end(sent ? outcome : AttemptOutcome.DISCARDED);
   }
@@ -183,7 +188,7 @@
         });
   }
 
-  /** Keeps the connection after a complete answer, and closes it after anything else. */
+  /** Returns the connection to the idle ones after a complete answer, and closes it otherwise. */
   private void releaseConnection(AttemptOutcome outcome) {
     if (!holdsConnection) {
       return;
@@ -210,7 +215,7 @@
         });
   }
 
-  /** The proxy's process was killed: the attempt ends without an outcome, its connection breaks. */
+  /** Ends it without an outcome and breaks its connection, as the proxy's process was killed. */
   void proxyKilled() {
     ended = true;
     run.cancel(timeoutTimer);
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualConnections.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualConnections.java
@@ -6,7 +6,7 @@
 final class VirtualConnections extends BackendIndex.Backend<Integer> {
   private int idleConnections;
 
-  /** The backend's incarnation to which the idle connections lead. */
+  /** The incarnation of the backend to which the idle connections are open. */
   private int incarnation;
 
   VirtualConnections(Integer backend, int index) {
@@ -21,7 +21,7 @@
     return incarnation;
   }
 
-  /** Connections to an earlier incarnation of the backend are broken. */
+  /** Drops the idle connections if they are to another incarnation of the backend. */
   void dropBroken(int currentIncarnation) {
     if (incarnation != currentIncarnation) {
       incarnation = currentIncarnation;
@@ -29,12 +29,12 @@
     }
   }
 
-  /** A connection is being opened to this incarnation of the backend. */
+  /** Sets the incarnation of the backend to which a connection is being opened. */
   void connecting(int currentIncarnation) {
     incarnation = currentIncarnation;
   }
 
-  /** Takes an idle connection, if there is one. */
+  /** Takes an idle connection; returns false if there is none. */
   boolean takeIdle() {
     if (idleConnections == 0) {
       return false;
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualDiscovery.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualDiscovery.java
@@ -7,18 +7,18 @@
 import wheattrack.lab.scenario.Scenario;
 import wheattrack.lab.scenario.Scenario.Discovery;
 
-/** The endpoint list on the virtual clock: each proxy receives events after delays, in order. */
+/** The endpoint list on the virtual clock: each proxy receives events in order, after delays. */
 final class VirtualDiscovery extends EndpointRegistry {
-  /** Time after which a watch of a list that is down fails. */
+  /** Time until a watch fails that was requested while the list is down. */
   private static final long WATCH_TIMEOUT = 5_000;
 
   private final VirtualRun run;
   private final Discovery settings;
 
-  /** When the last event for each proxy arrives there. */
+  /** For each watching proxy, when the last event sent to it arrives. */
   private final Map<VirtualProxy, Long> lastDeliveries = new LinkedHashMap<>();
 
-  /** When a list of limited rate has sent what it has to send so far. */
+  /** When a list of limited rate will have sent all entries that it has to send so far. */
   private long busyUntil;
 
   VirtualDiscovery(VirtualRun run) {
@@ -27,7 +27,7 @@
     settings = run.scenario().discovery();
   }
 
-  /** A proxy watches the list: it receives a snapshot first, and all changes from now on. */
+  /** Starts a watch: the proxy receives a snapshot, and then all changes. */
   void watch(VirtualProxy proxy) {
     if (isDown()) {
       proxy.scheduleInIncarnation(WATCH_TIMEOUT, proxy::endpointListFailed);
@@ -53,7 +53,7 @@
     lastDeliveries.keySet().forEach(VirtualProxy::endpointListFailed);
   }
 
-  /** Sends the list as it is when it arrives. */
+  /** Sends a snapshot, with the entries that the list has at the time of its arrival. */
   private void sendSnapshot(VirtualProxy proxy) {
     scheduleDelivery(proxy, snapshot().size(), () -> proxy.endpointsChanged(snapshot(), true));
   }
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualEndpointList.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualEndpointList.java
@@ -17,8 +17,8 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * The endpoint list as one proxy of the virtual run knows it: passes events to the policy, writes
- * them to the ledger, and outlives the process as its cached list.
+ * The endpoint list as one proxy of the virtual run has received it: passes events to the policy
+ * and writes them to the ledger. A restarted proxy starts with it as the cached list.
  */
 final class VirtualEndpointList {
   private final VirtualRun run;
@@ -33,12 +33,12 @@
     clearBackends();
   }
 
-  /** A new process knows no backends and has no connections. */
+  /** Forgets all backends and connections, as a new process starts without them. */
   void clearBackends() {
     backends = new BackendIndex<>(VirtualConnections::new);
   }
 
-  /** Sets the policy of a new process, and gives it the cached list if there is one. */
+  /** Sets the policy of a new process, and passes the cached list to it if there is one. */
   void startPolicy(LoadBalancer newPolicy) {
     policy = newPolicy;
     if (!latestEvents.isEmpty()) {
@@ -46,17 +46,21 @@
     }
   }
 
-  /** The connections to the backend of this index, as the policy numbers them. */
+  /** The connections to the backend with this index of the policy. */
   VirtualConnections connections(int index) {
     return backends.get(index);
   }
 
-  /** The connections to a backend by its number in the run, or null. */
+  /** The connections to a backend, or null if the proxy does not know it. */
   VirtualConnections connectionsTo(SimulatedBackend backend) {
     return backends.find(backend.index());
   }
 
-  /** Events arrive: of the complete list, or of changes. */
+  /**
+   * Applies events of the list.
+   *
+   * @param complete whether they are the complete list; otherwise they are changes
+   */
   void receive(List<EndpointEvent> events, boolean complete) {
     apply(events, complete, false);
   }
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualPolicyRuntime.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualPolicyRuntime.java
@@ -7,7 +7,7 @@
 import wheattrack.api.PolicyRuntime;
 import wheattrack.api.ProbeCallback;
 
-/** The policy's runtime on the virtual clock, for one proxy. It makes no decisions. */
+/** The policy's runtime on the virtual clock, for one proxy. */
 final class VirtualPolicyRuntime implements PolicyRuntime {
   private final VirtualRun run;
   private final VirtualDiscovery discovery;
@@ -59,18 +59,18 @@
 
   @Override
   public void probeLoad(int backend, ProbeCallback callback) {
-    // virtual backends answer no load probes: each one times out
+    // virtual backends do not answer load probes: each probe times out
     run.schedule(
         VirtualProxy.CONNECT_TIMEOUT, () -> callback.ended(false, VirtualProxy.CONNECT_TIMEOUT));
   }
 
   @Override
   public void closeIdleConnections(int backend) {
-    // the scenarios' backends set no price on connections
+    // virtual connections have no cost while they are idle
   }
 
   @Override
   public void report(PolicyEvent event) {
-    // the ledger of the run says what happened
+    // events are not logged: the ledger is the record of the run
   }
 }
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualProxy.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualProxy.java
@@ -16,20 +16,20 @@
 import wheattrack.lab.referee.LedgerRecord.Answer;
 
 /**
- * One proxy of the virtual run: its process, which starts and is killed, and the requests in flight
- * there. The policy makes the decisions.
+ * One proxy of the virtual run: its process, which can be started and killed, and the requests in
+ * flight there. Its policy makes the decisions. Times are tenths of a millisecond.
  */
 final class VirtualProxy extends ProxyHandle {
-  /** Time after which an attempt to connect to a silent machine fails. */
+  /** Time until an attempt to connect to a silent backend fails. */
   static final long CONNECT_TIMEOUT = 2_500;
 
-  /** The client's timeout over the time that is reserved for writing the answer. */
+  /** The fraction of the client's timeout reserved for writing the answer is 1 over this. */
   private static final long ANSWER_TIME_DIVISOR = 200;
 
-  /** The least time that is reserved for writing the answer. */
+  /** The least time reserved for writing the answer. */
   private static final long MIN_ANSWER_TIME = 10;
 
-  /** The greatest cost hint that is passed to the policy. */
+  /** The greatest cost hint passed to the policy; greater ones are reduced to it. */
   private static final int MAX_COST_HINT = Integer.MAX_VALUE / 4;
 
   /** How long after its deadline a request may stay open before the proxy fails it. */
@@ -57,7 +57,7 @@
     endpoints = new VirtualEndpointList(run, index);
   }
 
-  /** Starts a process that knows nothing but the endpoint list that the last one cached. */
+  /** Starts a process without any state but the endpoint list that an earlier one cached. */
   @Override
   public void start() {
     beginIncarnation();
@@ -68,7 +68,7 @@
     run.clients().setProxyAvailable(this, true);
   }
 
-  /** Breaks all connections: clients and backends learn of it after a delay. */
+  /** Breaks all connections; clients and backends notice after the delay of the link. */
   @Override
   protected void stopProcess() {
     for (VirtualRequest request : requests.values()) {
@@ -95,22 +95,26 @@
 
   @Override
   public void setPaused(boolean paused) {
-    throw new IllegalStateException("not on the virtual clock");
+    throw new IllegalStateException("pausing a proxy is not supported on the virtual clock");
   }
 
   @Override
   public void setClockSkew(double millis) {
-    throw new IllegalStateException("not on the virtual clock");
+    throw new IllegalStateException("clock skew of a proxy is not supported on the virtual clock");
   }
 
-  /** Events of the endpoint list arrive: of the complete list, or of changes. */
+  /**
+   * Receives events of the endpoint list.
+   *
+   * @param complete whether they are the complete list; otherwise they are changes
+   */
   void endpointsChanged(List<EndpointEvent> events, boolean complete) {
     if (isUp()) {
       endpoints.receive(events, complete);
     }
   }
 
-  /** The watch of the endpoint list is lost. */
+  /** Notifies the policy that the watch of the endpoint list has failed. */
   void endpointListFailed() {
     if (isUp()) {
       policy.endpointListFailed(false);
@@ -125,7 +129,7 @@
 
   private void receive(ClientRequest request, long sentAt) {
     if (!request.isOpen()) {
-      return; // the client disconnected before the request was here
+      return; // the client disconnected before the request arrived
     }
     if (!isUp()) {
       run.schedule(run.clientDelay(), () -> run.clients().connectionRefused(request));
@@ -183,19 +187,19 @@
     attempt.start(timeout);
   }
 
-  /** An attempt has brought the answer. */
+  /** Sends the client the answer of a successful attempt. */
   void succeed(VirtualRequest request) {
     close(request);
     answer(request, Answer.DONE, 0);
   }
 
-  /** The policy rejects a request. */
+  /** Sends the client a rejection. */
   void reject(VirtualRequest request, long retryAfter) {
     close(request);
     answer(request, Answer.REJECTED, retryAfter);
   }
 
-  /** The policy fails a request, or its deadline has passed. */
+  /** Sends the client a failure, by decision of the policy or because the deadline has passed. */
   void fail(VirtualRequest request) {
     close(request);
     answer(request, Answer.FAILED, 0);
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualRequest.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualRequest.java
@@ -10,6 +10,9 @@
 
 /** A request in flight at a proxy of the virtual run. */
 final class VirtualRequest {
+  /** A time later than any deadline. */
+  private static final long NEVER = Long.MAX_VALUE / 2;
+
   private final ClientRequest clientRequest;
   private final List<VirtualAttempt> attempts = new ArrayList<>(2);
   private PendingRequest pending;
@@ -34,7 +37,7 @@
     this.pending = pending;
   }
 
-  /** What the policy gave back for it. */
+  /** The policy's handle of it. */
   RequestHandle handle() {
     return handle;
   }
@@ -51,7 +54,7 @@
     deadlineTimer = timer;
   }
 
-  /** Whether it has its final answer, or its client or proxy has gone. */
+  /** Whether it has its final answer, its client has disconnected or its proxy was killed. */
   boolean hasEnded() {
     return ended;
   }
@@ -60,7 +63,7 @@
     ended = true;
   }
 
-  /** Its attempts, by number. */
+  /** Its attempts, in the order of their start. */
   List<VirtualAttempt> attempts() {
     return attempts;
   }
@@ -74,9 +77,12 @@
     }
   }
 
-  /** When the first attempt was made of those that were sent, or a time later than any deadline. */
+  /**
+   * When the earliest of the sent attempts was created, or a time later than any deadline if none
+   * has been sent.
+   */
   long firstAttemptAt() {
-    long first = Long.MAX_VALUE / 2;
+    long first = NEVER;
     for (VirtualAttempt attempt : attempts) {
       if (attempt.isSent()) {
         first = Math.min(first, attempt.createdAt());
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualRun.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualRun.java
@@ -14,9 +14,9 @@
 
 /**
  * A complete deployment in one thread on a virtual clock: proxies with the real policy, and models
- * of backends, endpoint list, links, front load balancer and clients. Equal scenarios, seeds and
- * policies give equal ledgers on any machine. Times are tenths of a millisecond from the start of
- * the run.
+ * of backends, endpoint list, links, front load balancer and clients. Runs with equal scenarios,
+ * seeds and policies have equal ledgers on any machine. Times are tenths of a millisecond from the
+ * start of the run.
  */
 public final class VirtualRun extends RunEnvironment {
   /** The time on a proxy's clock at the start of the run. */
@@ -25,31 +25,33 @@
   /** How long a run continues after the last deadline. */
   private static final long SETTLE_TIME = 4 * Scenario.SECOND;
 
-  /** The delay of a packet that was lost and retransmitted. */
+  /** The additional delay of a packet that was lost and retransmitted. */
   private static final long RETRANSMIT_DELAY = 2_000;
 
   private final RandomStream linkRandom;
   private final boolean enforcesDeadlines;
 
-  /** By backend: what faults add to the delay of its links, and the share of packets they lose. */
+  /** By backend: the delay that faults add on its links. */
   private final long[] addedDelays;
 
+  /** By backend: the share of packets that its links lose to faults. */
   private final double[] lossShares;
+
   private final TimerQueue timers = new TimerQueue();
   private long now;
   private long steps;
 
-  /** Sets up a run of a policy. */
+  /** Sets up a run in which all proxies use a policy of the lab. */
   public VirtualRun(
       Scenario scenario, long seed, Policies.Kind policy, Consumer<LedgerRecord> ledger) {
     this(scenario, seed, Policies.factory(policy, scenario), true, ledger);
   }
 
   /**
-   * Sets up a run of any policy.
+   * Sets up a run with the policies of a factory.
    *
-   * @param enforcesDeadlines whether proxies fail requests that are open past their deadline, as
-   *     proxies on sockets do
+   * @param enforcesDeadlines whether proxies fail requests that are still open after their
+   *     deadline, as proxies on sockets do
    */
   VirtualRun(
       Scenario scenario,
@@ -70,7 +72,7 @@
     }
   }
 
-  /** Plays the complete run. */
+  /** Runs the complete scenario. */
   public void run() {
     backends().forEach(backend -> backend.start(false));
     proxies().forEach(ProxyHandle::start);
@@ -92,7 +94,7 @@
     return steps;
   }
 
-  /** Whether proxies fail requests that are open past their deadline. */
+  /** Whether proxies fail requests that are still open after their deadline. */
   boolean enforcesDeadlines() {
     return enforcesDeadlines;
   }
@@ -121,7 +123,7 @@
     }
   }
 
-  /** Draws the delay of one packet between a proxy's zone and a backend, as its link is now. */
+  /** Draws the delay of one packet between a proxy's zone and a backend, with present faults. */
   long oneWayDelay(int proxyZone, SimulatedBackend backend) {
     Network network = scenario().network();
     boolean isSameZone = proxyZone == backend.zone();
