--- a/lab/src/main/java/wheattrack/lab/ScenarioRunner.java
+++ b/lab/src/main/java/wheattrack/lab/ScenarioRunner.java
@@ -30,7 +30,7 @@
   record RunOptions(long seed, Path outputDirectory, Policies.Kind policy, Path proxyJar) {}
 
   /** The result of a run on sockets: the verdict, and how punctual the lab itself was. */
-  record SocketResult(Verdict verdict, SocketRun.Quality quality) {
+  record SocketResult(Verdict verdict, SocketRun.LoadMeasurements quality) {
     ExitCode exitCode() {
       return quality.isTooLate() ? ExitCode.INCONCLUSIVE : ScenarioRunner.exitCode(verdict);
     }
@@ -92,7 +92,7 @@
             : options.outputDirectory.resolve("sockets.ledger");
     Files.deleteIfExists(ledger);
     try {
-      SocketRun.Quality quality = writeLedger(scenario, options, proxyOptions, ledger);
+      SocketRun.LoadMeasurements quality = writeLedger(scenario, options, proxyOptions, ledger);
       Verdict verdict = judge(scenario, ledger);
       System.out.printf(
           Locale.ROOT,
@@ -114,22 +114,22 @@
     }
   }
 
-  private static SocketRun.Quality writeLedger(
+  private static SocketRun.LoadMeasurements writeLedger(
       Scenario scenario, RunOptions options, SocketRun.ProxyOptions proxyOptions, Path ledger)
       throws IOException {
     try (LedgerWriter writer = new LedgerWriter(ledger, false);
         SocketRun run =
             new SocketRun(scenario, options.seed, options.proxyJar, proxyOptions, writer)) {
-      SocketRun.Quality quality = run.run();
+      SocketRun.LoadMeasurements quality = run.run();
       if (options.outputDirectory != null) {
-        run.keepLogs(options.outputDirectory);
+        run.copyLogs(options.outputDirectory);
       }
       return quality;
     }
   }
 
   /** By how many milliseconds the lab's own sends were late, at this percentile. */
-  static double latenessMillis(SocketRun.Quality quality, double percentile) {
+  static double latenessMillis(SocketRun.LoadMeasurements quality, double percentile) {
     return quality.latenessMicros().getValueAtPercentile(percentile) / 1000.0;
   }
 
--- a/lab/src/main/java/wheattrack/lab/sockets/BackendServer.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/BackendServer.java
@@ -22,9 +22,9 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * A backend on sockets: the model decides what it does, this class speaks HTTP. It has a port for
- * each proxy, which identifies the sender, behind a link of its own where the scenario has faults
- * of links. Runs on the run's thread only.
+ * The HTTP server of a simulated backend. It listens on one port for each proxy, which identifies
+ * the sender of an attempt. If the scenario has link faults, a {@link FaultyLink} is in front of
+ * each port. Runs on the run's thread only.
  */
 final class BackendServer {
   private final SocketRun run;
@@ -46,12 +46,12 @@
     }
   }
 
-  /** The port at which this proxy finds the backend. */
+  /** The port to which this proxy connects to reach the backend. */
   int port(int proxy) {
     return faultyLinks.isEmpty() ? ports[proxy] : faultyLinks.get(proxy).port();
   }
 
-  /** Puts a fault on all links to the backend, or none with null. */
+  /** Sets the fault of all links to the backend, or ends it with null. */
   void setLinkFault(Fault fault) {
     faultyLinks.forEach(link -> link.setFault(fault));
   }
@@ -70,12 +70,12 @@
         listen();
       }
       default -> {
-        // a hung process keeps its connections
+        // connections to a hung process stay open
       }
     }
   }
 
-  /** Listens, if it does not yet; the ports stay the same from the first time on. */
+  /** Listens, if it does not yet; each later time on the ports of the first time. */
   private void listen() {
     if (!listeners.isEmpty()) {
       return;
@@ -157,7 +157,12 @@
       boolean isValid = id != null && id.matches("[0-9a-f]{1,16}");
       Long work = isValid ? run.workOf(Long.parseLong(id, 16)) : null;
       if (work == null || closeHandler != null) {
-        write(Encoder.response(response(HttpStatus.BAD_REQUEST, "no client sent this", false)));
+        write(
+            Encoder.response(
+                response(
+                    HttpStatus.BAD_REQUEST,
+                    "unknown Request-Id, or the connection is busy",
+                    false)));
         return;
       }
       boolean isFirst = unused;
@@ -182,7 +187,7 @@
         int linkPort = ((InetSocketAddress) channel.getRemoteAddress()).getPort();
         return faultyLinks.get(proxy).sentAt(linkPort);
       } catch (IOException e) {
-        return run.now(); // closed by now: no better time is known
+        return run.now(); // the connection is closed: the time of arrival is the best estimate
       }
     }
 
@@ -193,7 +198,7 @@
       }
     }
 
-    /** Resets it, so that the proxy notices at once. */
+    /** Closes it with a TCP reset, so that the proxy notices immediately. */
     void reset() {
       LoopbackListener.resetOnClose(channel);
       close();
@@ -210,7 +215,7 @@
       }
     }
 
-    /** An attempt on this connection. */
+    /** An attempt received on this connection. */
     private final class Attempt implements ReceivedAttempt {
       private final long requestId;
       private final long work;
--- a/lab/src/main/java/wheattrack/lab/sockets/DiscoveryServer.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/DiscoveryServer.java
@@ -19,11 +19,13 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * The endpoint list on sockets, in the form that the proxies expect. It has a port for each proxy,
- * which identifies the watcher. Runs on the run's thread only.
+ * The endpoint list on sockets, in the proxies' discovery protocol. It listens on one port for each
+ * proxy, which identifies the watcher. Runs on the run's thread only.
  */
 final class DiscoveryServer extends EndpointRegistry {
+  /** Time between two empty lines on a watch, in tenths of a millisecond. */
   private static final long HEARTBEAT_INTERVAL = 20_000;
+
   private static final String RESPONSE_HEAD =
       "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
           + "Transfer-Encoding: chunked\r\n\r\n";
@@ -53,7 +55,7 @@
     }
   }
 
-  /** The port at which this proxy watches the list. */
+  /** The port on which this proxy watches the list. */
   int port(int proxy) {
     return listeners.get(proxy).port();
   }
@@ -71,12 +73,12 @@
   }
 
   /**
-   * Open watches stay open and silent, and new ones are not answered: a machine that is cut off
-   * looks like that.
+   * Leaves open watches open without sending on them; new watches are not answered. This is what
+   * the proxies see of a server that has lost its network.
    */
   @Override
   protected void interruptWatches() {
-    // the watches stay open and silent
+    // nothing is sent on a watch while the list is down
   }
 
   private String line(int proxy, List<EndpointEvent> events, boolean complete) {
@@ -156,7 +158,7 @@
           });
     }
 
-    /** Delivers something after a random delay, but not before what was published earlier. */
+    /** Runs a delivery after a random delay, but not before earlier deliveries. */
     void deliverLater(Runnable delivery) {
       lastDelivery = Math.max(lastDelivery, run.now() + drawDeliveryDelay());
       run.schedule(
--- a/lab/src/main/java/wheattrack/lab/sockets/EncodedRequest.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/EncodedRequest.java
@@ -9,7 +9,7 @@
 import wheattrack.lab.model.ClientRequest;
 import wheattrack.lab.scenario.Scenario;
 
-/** A client's request in its form on the wire. */
+/** A client's request, encoded as HTTP. */
 final class EncodedRequest {
   private final ClientRequest clientRequest;
   private final ByteBuffer bytes;
@@ -48,17 +48,17 @@
     return clientRequest;
   }
 
-  /** The complete request, to be written once; each call starts at its first byte. */
+  /** A new buffer over the bytes of the complete request, positioned at the first one. */
   ByteBuffer bytes() {
     return bytes.duplicate();
   }
 
-  /** How long the client waits for the answer. */
+  /** How long the client waits for the answer, in tenths of a millisecond. */
   long timeout() {
     return clientRequest.plan().workload().requestClass().clientTimeout();
   }
 
-  /** Whether its last byte was written, on this or an earlier connection. */
+  /** Whether its last byte has been written, on any connection. */
   boolean isAccepted() {
     return accepted;
   }
--- a/lab/src/main/java/wheattrack/lab/sockets/FaultyLink.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/FaultyLink.java
@@ -16,24 +16,25 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * The link between one proxy and one backend: forwards bytes, and disturbs them while it has a
- * fault. DELAY: each piece is late. DROP: a share of pieces is as late as a retransmitted packet.
- * HOLD: nothing passes until it ends. CUT: a backend's answer ends after a number of bytes. RESET:
- * connections break at once, and new ones too. CORRUPT: a bit in each piece from the backend is
- * flipped. Runs on the run's thread only.
+ * The link between one proxy and one backend: a TCP relay that forwards bytes in chunks, and
+ * applies a fault to them while it has one. LINK_DELAY delays each chunk. LINK_DROP delays a share
+ * of the chunks as if they had been lost and retransmitted. LINK_HOLD forwards nothing until it
+ * ends. LINK_CUT ends each connection after a number of bytes from the backend. LINK_RESET resets
+ * all connections, also new ones. LINK_CORRUPT flips one bit in each chunk from the backend. Times
+ * are tenths of a millisecond. Runs on the run's thread only.
  */
 final class FaultyLink {
-  /** The delay of a packet that was lost and retransmitted. */
+  /** The delay of a chunk that was lost and retransmitted. */
   private static final long RETRANSMIT_DELAY = 2_000;
 
-  /** The most bytes that pass in one piece. */
+  /** The most bytes of one chunk. */
   private static final int BUFFER_SIZE = 8192;
 
-  /** Bytes of an answer that pass before it is cut. */
+  /** Bytes from the backend that are forwarded before LINK_CUT ends the connection. */
   private static final int CUT_AFTER_BYTES = 40;
 
-  /** How long it is known when a closed connection's last bytes were sent. */
-  private static final long SENT_TIME_KEPT = Scenario.SECOND;
+  /** How long {@link #sentAt} remembers a closed connection. */
+  private static final long SENT_TIME_RETENTION = Scenario.SECOND;
 
   private final SocketRun run;
   private final int backendPort;
@@ -41,7 +42,7 @@
   private final LoopbackListener listener;
   private final Set<Side> sides = new LinkedHashSet<>();
 
-  /** The sides towards the proxy, by the port that the backend sees. */
+  /** The sides towards the proxy, by the local port of the connection to the backend. */
   private final Map<Integer, Side> proxySideByPort = new HashMap<>();
 
   private Fault activeFault;
@@ -55,12 +56,12 @@
             run, LoopbackListener.ANY_PORT, LoopbackListener.LARGE_BACKLOG, this::openConnection);
   }
 
-  /** The port at which the proxy finds the backend. */
+  /** The port to which the proxy connects to reach the backend. */
   int port() {
     return listener.port();
   }
 
-  /** Puts a fault on the link, or none with null. */
+  /** Sets the fault of the link, or ends it with null. */
   void setFault(Fault fault) {
     activeFault = fault;
     if (hasFault(Kind.LINK_RESET)) {
@@ -70,7 +71,9 @@
     }
   }
 
-  /** When the proxy sent what the backend has now received from this port of the link. */
+  /**
+   * When the proxy sent the last bytes on the connection that reaches the backend from this port.
+   */
   long sentAt(int port) {
     Side proxySide = proxySideByPort.get(port);
     return proxySide == null ? run.now() : proxySide.receivedAt;
@@ -104,7 +107,7 @@
     }
   }
 
-  /** One side of a connection; what arrives here leaves at the peer. */
+  /** One side of a connection: bytes received here are sent by the peer. */
   private final class Side extends TcpConnection {
     private final AsynchronousSocketChannel channel;
     private final boolean fromBackend;
@@ -113,7 +116,7 @@
     private long lastDelivery;
     private long receivedAt;
     private int port;
-    private int bytesPassed;
+    private int bytesForwarded;
     private boolean held;
 
     Side(AsynchronousSocketChannel channel, boolean fromBackend) {
@@ -138,7 +141,7 @@
     @Override
     protected void onRead(int byteCount) {
       if (byteCount < 0) {
-        pass(null);
+        forward(null);
         return;
       }
       if (byteCount > 0) {
@@ -148,33 +151,33 @@
         held = true;
         return;
       }
-      passBuffer();
+      forwardBuffer();
     }
 
-    /** Forwards what a fault has held, if any. */
+    /** Forwards the bytes that LINK_HOLD has held back, if any. */
     void release() {
       if (held && !isClosed()) {
         held = false;
-        passBuffer();
+        forwardBuffer();
       }
     }
 
-    private void passBuffer() {
-      pass(buffer.flip());
+    private void forwardBuffer() {
+      forward(buffer.flip());
       buffer = ByteBuffer.allocate(BUFFER_SIZE);
       read(buffer);
     }
 
     /**
-     * Forwards a piece, or the end of the stream with null: in order, and as late as the link is
-     * now.
+     * Forwards a chunk, or the end of the stream with null, in order and after the delay that the
+     * fault adds now.
      */
-    private void pass(ByteBuffer piece) {
+    private void forward(ByteBuffer chunk) {
       lastDelivery = Math.max(lastDelivery, run.now() + addedDelay());
       if (lastDelivery > run.now()) {
-        run.schedule(lastDelivery - run.now(), () -> deliver(piece));
+        run.schedule(lastDelivery - run.now(), () -> deliver(chunk));
       } else {
-        deliver(piece);
+        deliver(chunk);
       }
     }
 
@@ -188,29 +191,29 @@
       return 0;
     }
 
-    private void deliver(ByteBuffer piece) {
-      if (piece == null) {
+    private void deliver(ByteBuffer chunk) {
+      if (chunk == null) {
         peer.close();
         close();
       } else if (!peer.isClosed()) {
-        disturb(piece);
-        peer.write(piece);
-        bytesPassed += piece.limit();
-        if (fromBackend && hasFault(Kind.LINK_CUT) && bytesPassed >= CUT_AFTER_BYTES) {
+        applyFault(chunk);
+        peer.write(chunk);
+        bytesForwarded += chunk.limit();
+        if (fromBackend && hasFault(Kind.LINK_CUT) && bytesForwarded >= CUT_AFTER_BYTES) {
           peer.shutdownOutput();
           reset();
         }
       }
     }
 
-    private void disturb(ByteBuffer piece) {
+    private void applyFault(ByteBuffer chunk) {
       if (fromBackend && hasFault(Kind.LINK_CUT)) {
-        int remaining = Math.max(0, CUT_AFTER_BYTES - bytesPassed);
-        piece.limit(Math.min(piece.limit(), remaining));
-      } else if (fromBackend && hasFault(Kind.LINK_CORRUPT) && piece.limit() > 0) {
-        int position = random.nextInt(piece.limit());
+        int remaining = Math.max(0, CUT_AFTER_BYTES - bytesForwarded);
+        chunk.limit(Math.min(chunk.limit(), remaining));
+      } else if (fromBackend && hasFault(Kind.LINK_CORRUPT) && chunk.limit() > 0) {
+        int position = random.nextInt(chunk.limit());
         int flippedBit = 1 << random.nextInt(Byte.SIZE);
-        piece.put(position, (byte) (piece.get(position) ^ flippedBit));
+        chunk.put(position, (byte) (chunk.get(position) ^ flippedBit));
       }
     }
 
@@ -221,7 +224,7 @@
       }
     }
 
-    /** Resets the connection on both sides, so that both peers notice at once. */
+    /** Resets the connection on both sides, so that proxy and backend notice immediately. */
     void reset() {
       resetThisSide();
       if (peer != null) {
@@ -238,8 +241,8 @@
     public void close() {
       super.close();
       if (sides.remove(this) && port > 0) {
-        // the backend may still be reading
-        run.schedule(SENT_TIME_KEPT, () -> proxySideByPort.remove(port));
+        // the backend may not have read the last bytes yet
+        run.schedule(SENT_TIME_RETENTION, () -> proxySideByPort.remove(port));
       }
     }
   }
--- a/lab/src/main/java/wheattrack/lab/sockets/LoadConnection.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/LoadConnection.java
@@ -13,14 +13,14 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * One connection of a client to a proxy; it carries one request at a time. Runs on the run's thread
- * only.
+ * One connection of a client to a proxy; it carries one request at a time. Times are tenths of a
+ * millisecond. Runs on the run's thread only.
  */
 final class LoadConnection extends TcpConnection {
-  /** How long it may be idle: shorter than the proxies allow. */
+  /** How long a connection may be idle; shorter than the proxies' idle timeout. */
   private static final long IDLE_TIMEOUT = 15_000;
 
-  /** How long after the client's timeout an answer may still arrive. */
+  /** How long after the client's timeout a connection still waits for the answer. */
   private static final long ANSWER_GRACE = 5_000;
 
   private final LoadConnectionPool pool;
@@ -39,7 +39,7 @@
     this.run = run;
   }
 
-  /** Connects and then sends a first request. */
+  /** Connects and then sends the first request. */
   void connectAndSend(EncodedRequest request) {
     current = request;
     connect(
@@ -47,7 +47,7 @@
         () -> send(request, false),
         () -> {
           close();
-          pool.requestBroken(request);
+          pool.connectionLost(request);
         });
   }
 
@@ -57,7 +57,11 @@
     return current != null && current.clientRequest() == request;
   }
 
-  /** Sends a request, on a connection that was used before or on a new one. */
+  /**
+   * Sends a request on this open connection.
+   *
+   * @param isReused whether the connection has carried a request before
+   */
   void send(EncodedRequest request, boolean isReused) {
     if (isClosed()) {
       return;
@@ -83,7 +87,7 @@
       run.schedule(
           sent.timeout() + ANSWER_GRACE,
           () -> {
-            if (current == sent) { // the referee knows that there was no answer in time
+            if (current == sent) { // a missing answer is judged by the referee, from the ledger
               close();
             }
           });
@@ -113,7 +117,7 @@
       Response response = decoder.next();
       if (response == null) {
         read(decoder.writableBuffer());
-      } else if (current == null) { // a second answer to the last request
+      } else if (current == null) { // an unexpected second answer to the last request
         run.clients().answered(lastRequest.clientRequest(), Answer.FAILED, 0);
         close();
       } else {
@@ -166,8 +170,9 @@
   }
 
   /**
-   * The other side has closed the connection. A proxy may do so while a request is on its way: that
-   * one is sent again on another connection.
+   * The proxy has closed the connection, or its answer is malformed. A proxy may close an idle
+   * connection while a request is on its way: then the request is sent again on another connection.
+   * So only a request on a reused connection, without any bytes of an answer, is sent again.
    */
   private void connectionEnded() {
     EncodedRequest lostRequest = current;
@@ -180,7 +185,7 @@
       run.countResentRequest();
       pool.send(lostRequest);
     } else {
-      pool.requestBroken(lostRequest);
+      pool.connectionLost(lostRequest);
     }
   }
 
--- a/lab/src/main/java/wheattrack/lab/sockets/LoadConnectionPool.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/LoadConnectionPool.java
@@ -26,7 +26,7 @@
     this.address = address;
   }
 
-  /** The proxy to which the connections lead. */
+  /** The proxy to which the connections are open. */
   ProxyHandle proxy() {
     return proxy;
   }
@@ -35,7 +35,7 @@
     return address;
   }
 
-  /** Sends a request on the connection that was used last, or on a new one. */
+  /** Sends a request on the idle connection that was used last, or else on a new one. */
   void send(EncodedRequest request) {
     LoadConnection idle = idleConnections.pollLast();
     if (idle != null) {
@@ -53,7 +53,7 @@
     }
   }
 
-  /** The client of a request disconnects: its connection is closed. */
+  /** Closes the connection of a request, as its client disconnects. */
   void disconnect(ClientRequest request) {
     for (LoadConnection connection : List.copyOf(connections)) {
       if (connection.carries(request)) {
@@ -62,7 +62,7 @@
     }
   }
 
-  /** A connection may carry another request. */
+  /** Adds a connection to the idle ones, so that it can carry another request. */
   void connectionIdle(LoadConnection connection) {
     idleConnections.addLast(connection);
   }
@@ -72,8 +72,8 @@
     connections.remove(connection);
   }
 
-  /** The connection of a request ended without an answer. */
-  void requestBroken(EncodedRequest request) {
+  /** Notifies the clients that the connection of a request ended without an answer. */
+  void connectionLost(EncodedRequest request) {
     if (request.isAccepted()) {
       run.clients().answered(request.clientRequest(), Answer.CONNECTION_LOST, 0);
     } else {
--- a/lab/src/main/java/wheattrack/lab/sockets/LoopbackListener.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/LoopbackListener.java
@@ -8,17 +8,18 @@
 import java.nio.channels.AsynchronousSocketChannel;
 import java.util.function.Consumer;
 
-/** Accepts connections at a port of the loopback address. Runs on the run's thread only. */
+/** Accepts connections on a port of the loopback address. Runs on the run's thread only. */
 final class LoopbackListener implements AutoCloseable {
-  /** Any free port. */
+  /** Makes the operating system choose a free port. */
   static final int ANY_PORT = 0;
 
-  /** A backlog for many connections at once, and the system's own. */
+  /** A backlog for many connections that are opened together. */
   static final int LARGE_BACKLOG = 1024;
 
+  /** Makes the operating system choose the backlog. */
   static final int DEFAULT_BACKLOG = 0;
 
-  /** Delay before the next attempt after one to accept has failed. */
+  /** Delay before the next accept after a failed one, in tenths of a millisecond. */
   private static final long RETRY_DELAY = 100;
 
   private final SocketRun run;
@@ -55,7 +56,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // it is closed either way
+      // the channel is closed even if close() fails
     }
   }
 
@@ -75,12 +76,12 @@
                 }));
   }
 
-  /** Makes a connection end with a reset once it is closed, so that the peer notices at once. */
+  /** Makes closing a connection send a TCP reset, so that the peer notices immediately. */
   static void resetOnClose(AsynchronousSocketChannel connection) {
     try {
       connection.setOption(StandardSocketOptions.SO_LINGER, 0);
     } catch (IOException | RuntimeException e) {
-      // it is closed without a reset
+      // then closing it sends no reset
     }
   }
 }
--- a/lab/src/main/java/wheattrack/lab/sockets/ProxyProcess.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/ProxyProcess.java
@@ -17,9 +17,11 @@
 import wheattrack.lab.process.Processes;
 import wheattrack.lab.scenario.ProxySettings;
 
-/** A proxy as a process of its own. Runs on the run's thread only. */
+/**
+ * A proxy as a separate process. Times are tenths of a millisecond. Runs on the run's thread only.
+ */
 final class ProxyProcess extends ProxyHandle {
-  /** Options that keep a proxy's JVM small, so that many fit on one machine. */
+  /** Options that limit the memory of a proxy's JVM, so that many of them run on one machine. */
   private static final List<String> JVM_OPTIONS =
       List.of(
           "-Xms48m",
@@ -32,10 +34,13 @@
           "-XX:+UseSerialGC",
           "-XX:-UsePerfData");
 
+  /** Time between two readiness checks. */
   private static final long READINESS_INTERVAL = 200;
+
+  /** The proxy's limit of open sockets. */
   private static final int MAX_SOCKETS = 1024;
 
-  /** How long after a client's timeout the work of its request is still known. */
+  /** How long after a client's timeout the work of its request is remembered. */
   private static final long REQUEST_RETENTION = 20_000;
 
   private final SocketRun run;
@@ -47,10 +52,10 @@
   private double clockSkewMillis;
 
   /**
-   * Writes the configuration of a proxy that is started later.
+   * Writes the configuration file of the proxy; {@link #start} starts the process.
    *
-   * @param discoveryPort where it watches the endpoint list
-   * @param directBackend the backend to which clients connect where there are no proxies
+   * @param discoveryPort the port on which it watches the endpoint list
+   * @param directBackend the backend to which clients connect if the run is without proxies
    */
   ProxyProcess(
       SocketRun run,
@@ -85,7 +90,7 @@
     }
   }
 
-  /** The file to which the process logs. */
+  /** The log file of the process. */
   Path log() {
     return run.directory().resolve("p" + index() + ".log");
   }
@@ -130,7 +135,7 @@
     run.clients().setProxyAvailable(this, true);
   }
 
-  /** Asks the process whether it is ready, again and again until it is or was killed. */
+  /** Checks repeatedly whether the process is ready, until it is or was killed. */
   private void checkReadiness() {
     int checkedIncarnation = incarnation();
     try {
@@ -158,7 +163,7 @@
     process.destroyForcibly();
   }
 
-  /** Ends the process, however the run ends: it is gone when this returns. Any thread. */
+  /** Kills the process and waits for its exit. May be called by any thread. */
   void destroy() {
     if (process != null) {
       Processes.killAndWait(process);
--- a/lab/src/main/java/wheattrack/lab/sockets/ReadinessCheck.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/ReadinessCheck.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import wheattrack.aio.TcpConnection;
 
-/** Asks a proxy once whether it is ready. Runs on the run's thread only. */
+/** Sends one readiness request to a proxy. Runs on the run's thread only. */
 final class ReadinessCheck extends TcpConnection {
   private static final ByteBuffer REQUEST =
       ByteBuffer.wrap("GET /ready HTTP/1.0\r\n\r\n".getBytes(StandardCharsets.US_ASCII))
@@ -55,6 +55,6 @@
 
   @Override
   protected void onWritten(boolean complete) {
-    // a failed write shows as the end of the answer
+    // after a failed write, the read ends the check
   }
 }
--- a/lab/src/main/java/wheattrack/lab/sockets/SocketRun.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/SocketRun.java
@@ -24,24 +24,25 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * A deployment on loopback sockets in real time: proxies as processes of their own, and in this one
- * the models of clients, front load balancer, backends, endpoint list and links. All of it ends
- * with the run, also when that is interrupted. Times are tenths of a millisecond from the start of
- * the run.
+ * A deployment on loopback sockets in real time: proxies as separate processes, and in this process
+ * the models of clients, front load balancer, backends, endpoint list and links. The proxies are
+ * killed when the run is closed, and also when this process is terminated. Times are tenths of a
+ * millisecond from the start of the run.
  */
 public final class SocketRun extends RunEnvironment implements AutoCloseable {
   /**
-   * How punctual the lab itself was.
+   * Measurements of the lab's own load generator.
    *
-   * @param latenessMicros how late operations started, in microseconds
-   * @param resentRequests requests sent again as the proxy closed their connection
-   * @param openedConnections connections that clients opened
+   * @param latenessMicros how much later than planned operations started, in microseconds
+   * @param resentRequests requests sent again because the proxy had closed their connection
+   * @param openedConnections connections that clients opened to proxies
    */
-  public record Quality(Histogram latenessMicros, long resentRequests, long openedConnections) {
-    /** Whether the lab was so late that the run proves nothing. */
+  public record LoadMeasurements(
+      Histogram latenessMicros, long resentRequests, long openedConnections) {
+    /** Whether operations started so late that the run is inconclusive. */
     public boolean isTooLate() {
       return latenessMicros.getTotalCount() > 0
-          && latenessMicros.getValueAtPercentile(99) > MAX_LATENESS_MICROS;
+          && latenessMicros.getValueAtPercentile(LATENESS_PERCENTILE) > MAX_LATENESS_MICROS;
     }
   }
 
@@ -49,38 +50,50 @@
    * How the proxies run.
    *
    * @param jvmOptions further options of their JVM
-   * @param cores the cores that they may use, in the form of taskset, or null for all
-   * @param direct whether there are none: then clients connect to the backend of each proxy's index
+   * @param cores the cores that they may use, as a CPU list of taskset, or null for all
+   * @param direct whether there are no proxies: then the clients of each proxy connect to the
+   *     backend of its index
    */
   public record ProxyOptions(List<String> jvmOptions, String cores, boolean direct) {
-    /** No further options, on all cores. */
+    /** No further JVM options, on all cores. */
     public static final ProxyOptions DEFAULT = new ProxyOptions(List.of(), null, false);
   }
 
   static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
 
-  /** The lateness, in microseconds, that one operation in a hundred may reach. */
+  /** The percentile of operations whose lateness is compared with {@link #MAX_LATENESS_MICROS}. */
+  private static final double LATENESS_PERCENTILE = 99;
+
+  /** The greatest lateness at that percentile of a conclusive run, in microseconds. */
   private static final long MAX_LATENESS_MICROS = 20_000;
 
-  /** The greatest lateness that is recorded; a greater one counts as this, in microseconds. */
+  /** The greatest lateness that is recorded, in microseconds; greater ones are reduced to it. */
   private static final long MAX_RECORDED_MICROS = 60_000_000;
 
+  /** The precision of the lateness histogram, in significant decimal digits. */
+  private static final int LATENESS_DIGITS = 3;
+
   /** How long the proxies may take until all are ready. */
   private static final long READY_TIMEOUT = 300_000;
 
+  /** Time between two checks whether all proxies are ready. */
   private static final long READINESS_INTERVAL = 100;
 
-  /** Quiet time between the proxies' start and the run, and after the last deadline. */
+  /**
+   * Time without new load between the proxies' readiness and the run, and after the last deadline.
+   */
   private static final long SETTLE_TIME = 5_000;
 
+  /** How long closing waits for the end of the channel group. */
   private static final long GROUP_TIMEOUT_SECONDS = 1;
+
   private static final long NANOS_PER_MICRO = 1000;
 
   private final EventLoop loop = new EventLoop();
   private final AsynchronousChannelGroup group;
   private final TemporaryDirectory directory;
   private final Map<Long, Long> workByRequest = new HashMap<>();
-  private final Histogram lateness = new Histogram(MAX_RECORDED_MICROS, 3);
+  private final Histogram lateness = new Histogram(MAX_RECORDED_MICROS, LATENESS_DIGITS);
   private final List<BackendServer> backendServers = new ArrayList<>();
   private final Thread shutdownHook = new Thread(this::killAll);
   private String startFailure;
@@ -92,14 +105,14 @@
   /**
    * Sets up a run; the proxies start with {@link #run}.
    *
-   * @param jar the proxies' program
+   * @param jar the jar file of the proxies
    */
   public SocketRun(
       Scenario scenario, long seed, Path jar, ProxyOptions options, Consumer<LedgerRecord> ledger)
       throws IOException {
     super(scenario, seed, ledger);
     if (!Files.isRegularFile(jar)) {
-      throw new IOException("no such jar: " + jar);
+      throw new IOException("the jar of the proxies does not exist: " + jar);
     }
     directory = new TemporaryDirectory("wheattrack-lab");
     group = loop.channelGroup();
@@ -116,8 +129,12 @@
     }
   }
 
-  /** Plays the complete run; fails where a proxy does not become ready. */
-  public Quality run() throws IOException {
+  /**
+   * Runs the complete scenario.
+   *
+   * @throws IOException if a proxy does not become ready in time
+   */
+  public LoadMeasurements run() throws IOException {
     backends().forEach(backend -> backend.start(false));
     loop.execute(
         () -> {
@@ -128,14 +145,18 @@
     if (startFailure != null) {
       throw new IOException(startFailure);
     }
-    return new Quality(lateness, resentRequests, openedConnections);
+    return new LoadMeasurements(lateness, resentRequests, openedConnections);
   }
 
   private void awaitReady(long deadline) {
     if (proxies().stream().allMatch(ProxyHandle::isUp)) {
       loop.schedule(SETTLE_TIME, this::begin);
     } else if (loop.now() >= deadline) {
-      startFailure = "a proxy was not ready within " + READY_TIMEOUT / Scenario.SECOND + " s";
+      startFailure =
+          "proxies not ready within "
+              + READY_TIMEOUT / Scenario.SECOND
+              + " s: "
+              + proxies().stream().filter(proxy -> !proxy.isUp()).map(ProxyHandle::index).toList();
       loop.shutdown();
     } else {
       loop.schedule(READINESS_INTERVAL, () -> awaitReady(deadline));
@@ -156,7 +177,7 @@
   }
 
   /** Copies the proxies' logs into a directory. */
-  public void keepLogs(Path directory) throws IOException {
+  public void copyLogs(Path directory) throws IOException {
     for (ProxyHandle proxy : proxies()) {
       Path log = ((ProxyProcess) proxy).log();
       if (Files.exists(log)) {
@@ -165,14 +186,14 @@
     }
   }
 
-  /** Ends the processes and deletes the files that are left of the run. */
+  /** Kills the proxies' processes and deletes the run's files. */
   @Override
   public void close() throws IOException {
     killAll();
     try {
       Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
-      // the hook itself runs this
+      // the JVM is shutting down, so that the hook runs or has run
     }
     group.shutdownNow();
     try {
@@ -187,7 +208,7 @@
     proxies().forEach(proxy -> ((ProxyProcess) proxy).destroy());
   }
 
-  /** The one thread of the run. */
+  /** The event loop, on whose thread the run takes place. */
   EventLoop loop() {
     return loop;
   }
@@ -202,17 +223,17 @@
     return directory.path();
   }
 
-  /** A client sends a request of this work. */
+  /** Remembers the work of a request that a client sends. */
   void expectRequest(long requestId, long work) {
     workByRequest.put(requestId, work);
   }
 
-  /** No answer to this request can come any more. */
+  /** Forgets the work of a request, once no attempt of it can arrive any more. */
   void forgetRequest(long requestId) {
     workByRequest.remove(requestId);
   }
 
-  /** The work of a request, or null where no client has sent it. */
+  /** The work of a request, or null if no client has sent it or it was forgotten. */
   Long workOf(long requestId) {
     return workByRequest.get(requestId);
   }
@@ -252,7 +273,7 @@
     backendServers.get(backend).setLinkFault(active ? fault : null);
   }
 
-  /** The time on the endpoint list's clock, Unix milliseconds, at a time of the run. */
+  /** The Unix time in milliseconds, by the event loop's clock, of a time of the run. */
   double unixMillis(long time) {
     return Scenario.toMillis(startedAt + time);
   }
--- a/lab/src/main/java/wheattrack/lab/sockets/package-info.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Runs on loopback sockets in real time: proxies as processes of their own, and backends,
- * discovery, clients and faulty links in this one.
+ * Runs on loopback sockets in real time: proxies as separate processes, and backends, discovery,
+ * clients and faulty links in the lab's process.
  */
 package wheattrack.lab.sockets;
--- a/lab/src/test/java/wheattrack/lab/sockets/SocketRunTest.java
+++ b/lab/src/test/java/wheattrack/lab/sockets/SocketRunTest.java
@@ -23,7 +23,7 @@
 import wheattrack.lab.scenario.Scenario;
 import wheattrack.lab.scenario.ScenarioReader;
 
-/** Complete runs on loopback sockets, with proxies as processes. */
+/** Complete runs on loopback sockets, with proxies as separate processes. */
 class SocketRunTest {
   private static final Path JAR = Path.of("../proxy/target/wheattrack.jar");
 
@@ -73,14 +73,14 @@
   }
 
   /**
-   * Links that break, cut answers off, hold and delay; a proxy that is stopped, one that is killed,
-   * and one whose clock is an hour ahead.
+   * Guards against broken rules while links reset connections, cut answers off, hold bytes back and
+   * delay them, while a proxy is paused or killed, and while the clock of one is an hour ahead.
    */
   @Test
   void rulesHoldThroughLinkFaultsAndKilledProxies() throws Exception {
     Scenario scenario =
         ScenarioReader.parse(
-            "spoilt",
+            "link-and-proxy-faults",
             scenarioText(
                 9,
                 faultText("link-reset", 1, 0.7, "share = 0.5")
@@ -102,7 +102,10 @@
     assertTrue(verdict.metrics().get("aborted") > 0, "no answer was cut off: " + verdict.metrics());
   }
 
-  /** A run whose lab is blocked again and again for a long time counts as too late. */
+  /**
+   * Guards against results of an overloaded lab: when its event loop is blocked for 60 ms again and
+   * again, operations start late, and the run must count as too late.
+   */
   @Test
   void lateLabInvalidatesTheRun() throws Exception {
     Scenario scenario = ScenarioReader.parse("late", scenarioText(2, ""));
@@ -145,7 +148,7 @@
     assertEquals(0, liveChildProcesses());
   }
 
-  /** The lab's process is terminated in the middle of a run: no proxy outlives it. */
+  /** Guards against proxies that go on running after the lab's process was terminated in a run. */
   @Test
   void noProxyOutlivesATerminatedLab() throws Exception {
     Path file = directory.resolve("long.toml");
@@ -182,7 +185,8 @@
   }
 
   /**
-   * Both proxies are notified of a drain, and the ledger has no attempt at that backend afterwards.
+   * Guards against attempts at a drained backend: both proxies are notified of the drain, and the
+   * ledger must have no attempt at that backend afterwards, from 1.65 s to 3 s.
    */
   @Test
   void drainedBackendsReceiveNoAttempts() throws Exception {
--- a/lab/src/test/java/wheattrack/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/ColdFleetTest.java
@@ -17,7 +17,10 @@
 import wheattrack.lab.scenario.Scenario;
 import wheattrack.lab.scenario.ScenarioReader;
 
-/** All proxies of a fleet together send a cold backend no more than it bears, chance included. */
+/**
+ * Guards against proxies that overload a cold backend: each proxy limits what it sends, but the sum
+ * over all proxies of a fleet, with its random variation, exceeds what the backend sustains.
+ */
 class ColdFleetTest {
   private static final int SEEDS = 3;
 
@@ -34,8 +37,8 @@
   /**
    * Plays a scenario.
    *
-   * @param proxyView the scenario that the proxies' settings are of, which may have another fleet
-   *     and another multiple
+   * @param proxyView the scenario from which the proxies' settings are made; it may differ in the
+   *     number of proxies and in the collapse multiple
    */
   private static Verdict play(String name, int proxies, Scenario proxyView, long seed) {
     Scenario scenario = scenario(name, proxies, 3);
@@ -79,7 +82,10 @@
             });
   }
 
-  /** A hundred proxies that each act as if alone, or by a greater multiple, overload backends. */
+  /**
+   * Checks that the scenarios detect the failure: 100 proxies make cold backends collapse if each
+   * assumes that it is the only one, in cold-few also with a collapse multiple of 30 instead of 3.
+   */
   @ParameterizedTest
   @CsvSource({"cold-ones,3", "cold-all,3", "cold-zone,3", "cold-few,30"})
   void proxiesUnawareOfEachOtherMakeBackendsCollapse(String name, int collapseMultiple) {
@@ -90,21 +96,27 @@
             .mapToDouble(
                 seed -> play(name, 100, singleProxyView, seed).metrics().get("broken.cold"))
             .sum();
-    assertTrue(collapses > 0, "none was pushed over");
+    assertTrue(collapses > 0, "no backend collapsed");
   }
 
-  /** N is 9 here: 9 + 2 x 3 + 2 = 17 requests are borne, from any proxies, and 18 are not. */
+  /**
+   * Guards against a wrong bound of the referee. N is 9 here, so that a backend sustains 9 + 2 x 3
+   * + 2 = 17 requests, from any proxies, and collapses under 18.
+   */
   @Test
   void budgetBound() {
     ColdBudget budget = new ColdBudget(3, 30_000, 100);
     for (int requests = 1; requests <= 17; requests++) {
-      assertFalse(budget.add(requests, 100, 0.01, requests % 3 != 0), "fell at " + requests);
+      assertFalse(
+          budget.add(requests, 100, 0.01, requests % 3 != 0),
+          "collapsed under " + requests + " requests");
     }
     assertTrue(budget.add(18, 100, 0.01, false));
-    assertFalse(budget.isSendersFault()); // 12 of 18 from senders that knew: not over two thirds
+    assertFalse(budget.isSendersFault()); // 12 of 18 from notified senders: not over two thirds
     assertTrue(budget.add(19, 100, 0.01, true));
     assertTrue(budget.isSendersFault());
-    assertFalse(budget.add(30_020, 10_000, 0.01, true)); // one alone never does it
+    assertFalse(
+        budget.add(30_020, 10_000, 0.01, true)); // one request alone never makes it collapse
     assertEquals(18 / 9.0, budget.peakLoad(), 1e-9);
   }
 }
--- a/lab/src/test/java/wheattrack/lab/virtual/FleetTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/FleetTest.java
@@ -26,14 +26,18 @@
 import wheattrack.lab.scenario.ScenarioReader;
 
 /**
- * The scenarios of a large fleet: the proxies' policy meets their expectations, and others do not.
+ * Guards the scenarios of a large fleet: the proxies' policy must meet their expectations. Policies
+ * that ignore load or the other proxies must fail them, or else the scenarios prove nothing.
  */
 class FleetTest {
-  /** Sends all requests to the backend that started last, which is right for a lone proxy only. */
-  private static class GreedyPolicy extends StubPolicy {
+  /**
+   * Sends all requests to the backend that started last, which overloads it when many proxies do
+   * so.
+   */
+  private static class NewestBackendPolicy extends StubPolicy {
     private final Map<Integer, Long> startTimes = new HashMap<>();
 
-    GreedyPolicy(PolicyRuntime runtime) {
+    NewestBackendPolicy(PolicyRuntime runtime) {
       super(runtime);
     }
 
@@ -109,13 +113,14 @@
         .forEach(
             metric ->
                 assertTrue(missedMetrics.contains(metric), metric + " of " + random.metrics()));
-    Verdict greedy = play(name, (runtime, seed, proxyIndex) -> new GreedyPolicy(runtime));
-    assertTrue(greedy.metrics().get("broken.cold") > 0, greedy.metrics().toString());
+    Verdict newestBackend =
+        play(name, (runtime, seed, proxyIndex) -> new NewestBackendPolicy(runtime));
+    assertTrue(newestBackend.metrics().get("broken.cold") > 0, newestBackend.metrics().toString());
   }
 
   /**
-   * A replaced backend drains and leaves the list; a cold one under an id that no proxy has seen
-   * takes its place.
+   * Guards against replacements that look like restarts: a replaced backend drains and is removed
+   * from the list, and a cold one with an id that was not listed before is added.
    */
   @Test
   void replacedBackendsHaveNewIds() {
@@ -128,7 +133,7 @@
             scenario,
             3,
             (runtime, seed, proxyIndex) ->
-                new GreedyPolicy(runtime) {
+                new NewestBackendPolicy(runtime) {
                   @Override
                   public void updateBackend(EndpointUpdate update) {
                     super.updateBackend(update);
@@ -147,7 +152,7 @@
         events.toString());
   }
 
-  /** A zone's faults hit all backends and proxies of that zone, and no others. */
+  /** The faults of a zone must hit all backends and proxies of that zone, and no others. */
   @Test
   void zoneFaultsHitOneZone() {
     Set<Integer> coldBackends = new TreeSet<>();
@@ -156,7 +161,7 @@
         new VirtualRun(
             scenario("zone", Map.of()),
             3,
-            (runtime, seed, proxyIndex) -> new GreedyPolicy(runtime),
+            (runtime, seed, proxyIndex) -> new NewestBackendPolicy(runtime),
             true,
             entry -> {
               if (entry.kind() == LedgerRecord.Kind.BACKEND_STARTED && entry.isCold()) {
@@ -177,22 +182,26 @@
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  /** Ten proxies watch a list of limited rate at once: the last one waits for the other nine. */
+  /**
+   * Guards against a rate limit that is applied to each proxy by itself: when ten proxies watch a
+   * list of limited rate at the same time, the last one waits until the other nine are served.
+   */
   @Test
   void rateLimitedDiscoveryServesProxiesInTurn() {
     long limited = longestWait("250");
     long unlimited = longestWait("0");
-    assertTrue(limited > 15_000, limited + "");
-    assertTrue(unlimited < 7_000, unlimited + "");
+    assertTrue(limited > 15_000, "longest wait with a limit: " + limited);
+    assertTrue(unlimited < 7_000, "longest wait without a limit: " + unlimited);
   }
 
+  /** The longest time from a proxy's restart to its first entry, in tenths of a millisecond. */
   private static long longestWait(String entriesPerSecond) {
     Map<Integer, Long> startedAt = new HashMap<>();
     long[] longest = {0};
     new VirtualRun(
             scenario("herd", Map.of("list.entries-per-second", entriesPerSecond)),
             2,
-            (runtime, seed, proxyIndex) -> new GreedyPolicy(runtime),
+            (runtime, seed, proxyIndex) -> new NewestBackendPolicy(runtime),
             true,
             entry -> {
               if (entry.kind() == LedgerRecord.Kind.PROXY_CHANGED
--- a/lab/src/test/java/wheattrack/lab/virtual/StubPolicy.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/StubPolicy.java
@@ -5,8 +5,12 @@
 import wheattrack.api.PolicyRuntime;
 import wheattrack.api.RequestHandle;
 
-/** A policy without state of requests, for tests to fill in: watches the list again as it fails. */
+/**
+ * A base of test policies: it watches the endpoint list, also again after a failure, and keeps no
+ * state of requests.
+ */
 abstract class StubPolicy implements LoadBalancer {
+  /** Delay before the list is watched again, in tenths of a millisecond. */
   private static final long WATCH_BACKOFF = 1_000;
 
   private final PolicyRuntime runtime;
@@ -22,12 +26,12 @@
     return runtime;
   }
 
-  /** Decides what becomes of a request. */
+  /** Handles a request. */
   abstract void onRequest(PendingRequest request);
 
   @Override
   public void endpointListUpdated(boolean cached) {
-    // each entry was an update of its own
+    // each entry was passed to updateBackend already
   }
 
   @Override
@@ -46,7 +50,7 @@
 
       @Override
       public void clientDisconnected() {
-        // it keeps no state
+        // there is no state of the request
       }
     };
   }
--- a/lab/src/test/java/wheattrack/lab/virtual/VirtualRunTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/VirtualRunTest.java
@@ -17,13 +17,16 @@
 import wheattrack.lab.referee.Verdict;
 import wheattrack.lab.scenario.Scenario;
 
-/** Virtual runs: the referee finds policies that break a rule, and runs are repeatable. */
+/**
+ * Guards against a referee that overlooks a broken rule, which it is shown here by policies that
+ * each break one, and against runs that are not repeatable.
+ */
 class VirtualRunTest {
   private static final String DRAIN = "[[fault]]\nkind = \"drain\"\nat-s = 1\nplace = 0\n";
   private static final String CRASH =
       "[[fault]]\nkind = \"crash\"\nat-s = 1\nfor-s = 1\nplace = 0\n";
 
-  /** What a proxy does with a request that arrives; each test has its own way to be wrong. */
+  /** Handles the requests of a proxy; most tests break one rule with it on purpose. */
   private interface FaultyPolicy {
     void onRequest(
         PolicyRuntime runtime,
@@ -72,7 +75,7 @@
   }
 
   /**
-   * Rejects each request that arrives while no backend is ready, and leaves the others to a policy.
+   * Rejects each request that arrives while no backend is ready, and passes the others to a policy.
    */
   private static FaultyPolicy whenReady(FaultyPolicy policy) {
     return (runtime, request, ready, everListed) -> {
@@ -180,7 +183,7 @@
                 })));
   }
 
-  /** The policy sends to a backend 700 ms and longer after it was notified of its drain. */
+  /** The policy still sends to a backend over 700 ms after the notification of its drain. */
   @Test
   void attemptsAtDrainedBackendsBreakTheDrainRule() {
     FaultyPolicy ignoresDrains =
@@ -190,16 +193,19 @@
     assertTrue(verdict.metrics().get("late-drain") > 700);
   }
 
-  /** All proxies send all requests to the backend that has just started again. */
+  /** All proxies send all requests to the backend that has just been restarted. */
   @Test
   void collapsedColdBackendsBreakTheColdRule() {
-    FaultyPolicy prefersTheColdOne =
+    FaultyPolicy sendsAllToTheColdBackend =
         (runtime, request, ready, everListed) ->
             forwardToReady(runtime, request, ready.contains(0) ? List.of(0) : ready);
-    assertBroken("cold", play("replayable", CRASH, prefersTheColdOne));
+    assertBroken("cold", play("replayable", CRASH, sendsAllToTheColdBackend));
   }
 
-  /** Clients hang up at any moment, also while the request is on its way: no request is lost. */
+  /**
+   * Guards against lost requests when clients disconnect at any moment, also while their request is
+   * on its way to the proxy.
+   */
   @Test
   void impatientClientsBreakNoRule() {
     Scenario scenario =
@@ -212,7 +218,7 @@
     assertTrue(verdict.metrics().get("done") > 50, verdict.metrics().toString());
   }
 
-  /** Equal seeds give equal ledgers to the last entry, another seed gives another one. */
+  /** Equal seeds must give equal ledgers up to the last entry, and another seed another ledger. */
   @Test
   void equalSeedsGiveEqualLedgers() {
     Scenario scenario =
