--- a/proxy/src/main/java/wheattrack/net/ClassArchiveTraining.java
+++ b/proxy/src/main/java/wheattrack/net/ClassArchiveTraining.java
@@ -13,23 +13,32 @@
 import wheattrack.config.ProxyConfig;
 
 /**
- * A training run for the class archive that the build makes: a start like a real one, whose JVM
- * records the classes that a start needs. Discovery and the backends are simulated. Without a list
- * and requests in it, a start with 60 backends took half as long again.
+ * A training run for the class archive that the build creates: starts a proxy as in production,
+ * while the JVM records the classes that the start loads. Discovery and the backends are simulated.
+ * The run includes an endpoint list and requests: with an archive trained without them, a start
+ * with 60 backends took 1.5 times as long.
  */
 public final class ClassArchiveTraining {
   private static final int BACKEND_COUNT = 8;
   private static final int REQUEST_COUNT = 32;
+
+  /** Cost hint of the first request, in microseconds. */
+  private static final int FIRST_HINT = 1000;
+
+  /** Difference between the cost hints of successive requests, in microseconds. */
+  private static final int HINT_STEP = 997;
+
   private static final String REQUEST_BODY = "hi";
   private static final String RESPONSE_BODY = "ok";
 
   private ClassArchiveTraining() {}
 
   /**
-   * Runs a proxy by the file's settings at a free port of this machine, and returns when it has
-   * shut down.
+   * Runs a proxy with the settings of a configuration file, at a free port of this machine, and
+   * returns when it has shut down.
    *
-   * @throws IOException if a socket cannot be opened or breaks
+   * @param file the configuration file
+   * @throws IOException if a socket cannot be opened, read or written
    */
   public static void run(Path file) throws IOException {
     try (ServerSocket listener =
@@ -53,7 +62,7 @@
         + " HTTP/1.1\r\nConnection: close\r\nRequest-Id: "
         + number
         + "\r\nWork-Hint: "
-        + (1000 + 997 * number)
+        + (FIRST_HINT + HINT_STEP * number)
         + "\r\nContent-Length: "
         + REQUEST_BODY.length()
         + "\r\n\r\n"
@@ -74,7 +83,7 @@
     }
   }
 
-  /** Serves discovery and the backends, until the listener is closed. */
+  /** Acts as discovery and as the backends, until the listener is closed. */
   private static void acceptAll(ServerSocket listener) {
     try {
       while (true) {
@@ -82,7 +91,7 @@
         startDaemon(() -> answerAll(socket, listener.getLocalPort()));
       }
     } catch (IOException e) {
-      return; // the training is over
+      return; // the listener was closed: the training has ended
     }
   }
 
@@ -93,7 +102,7 @@
         input.skipNBytes(head.startsWith("POST") ? REQUEST_BODY.length() : 0);
         String response =
             head.startsWith("GET /v1/endpoints")
-                ? responseStart(endpointList(backendPort)) // a watch: its answer has no end
+                ? responseStart(endpointList(backendPort)) // the response to a watch does not end
                 : responseStart(RESPONSE_BODY) + "0\r\n\r\n";
         socket.getOutputStream().write(response.getBytes(StandardCharsets.US_ASCII));
       }
@@ -102,7 +111,7 @@
     }
   }
 
-  /** A response's head and its first chunk. */
+  /** The head and the first chunk of a response. */
   private static String responseStart(String body) {
     return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         + Integer.toHexString(body.length())
--- a/proxy/src/main/java/wheattrack/net/ConfigurationReloader.java
+++ b/proxy/src/main/java/wheattrack/net/ConfigurationReloader.java
@@ -20,9 +20,9 @@
 import wheattrack.net.settings.SettingsSubscription;
 
 /**
- * Applies new configurations while the proxy serves: the file when it is read again, and the
- * settings of a watched source. Requests, connections and measurements stay. Runs on the event
- * loop's thread only.
+ * Applies new configurations while the proxy serves: the configuration file when it is read again,
+ * and the settings of a watched source. Requests in flight, connections and measurements are not
+ * affected. Runs on the event loop's thread only.
  */
 final class ConfigurationReloader {
   private static final Logger LOG = Logger.getLogger("wheattrack");
@@ -36,7 +36,7 @@
   private long longestClientTimeout;
 
   /**
-   * A reloader of a proxy that was built by this configuration.
+   * Creates a reloader for a proxy that was created with this configuration.
    *
    * @param dynamicSettings the settings of a watched source, which take precedence over the file's;
    *     null: none is watched
@@ -64,25 +64,25 @@
         .orElse(0);
   }
 
-  /** The configuration in force, as the file has it. */
+  /** The configuration in force as read from the file, without the watched source's settings. */
   ProxyConfig config() {
     return config;
   }
 
   /**
-   * The longest time that a client may wait, in tenths of a millisecond, by any configuration so
-   * far: requests in flight keep the class that they were accepted with.
+   * The longest client timeout, in tenths of a millisecond, of any configuration so far: requests
+   * in flight keep the settings of the class that they were accepted with.
    */
   long longestClientTimeout() {
     return longestClientTimeout;
   }
 
-  /** Whether a source of settings is watched and has sent none so far. */
+  /** Whether a source of settings is watched and none have been received from it so far. */
   boolean isWaitingForSource() {
     return dynamicSettings != null && !dynamicSettings.isPresent();
   }
 
-  /** Reads the file again; a bad one leaves the configuration as it is and is logged. */
+  /** Reads the file again; an invalid one is logged and leaves the configuration unchanged. */
   void reload(Path file) {
     try {
       apply(ProxyConfig.reread(file, config));
@@ -94,13 +94,13 @@
     }
   }
 
-  /** Names in the log what only a restart can change. */
+  /** Applies a configuration; logs the changed keys that take effect only after a restart. */
   private void apply(ProxyConfig next) {
-    List<String> fixedKeys = next.changedFixedKeys(config);
+    List<String> changedFixedKeys = next.changedFixedKeys(config);
     LOG.info(
         "configuration read again, list from "
             + next.discovery()
-            + (fixedKeys.isEmpty() ? "" : "; only a restart brings in " + fixedKeys));
+            + (changedFixedKeys.isEmpty() ? "" : "; only a restart brings in " + changedFixedKeys));
     requestHandler.applySettings(next.settings(), dynamicSettings);
     applyTimeouts(
         dynamicSettings == null ? next.settings() : dynamicSettings.overlay(next.settings()));
@@ -109,11 +109,12 @@
     config = next;
   }
 
-  /** Puts the watched source's settings in force, after they have changed. */
+  /** Applies the watched source's settings after they have changed. */
   void applyDynamicSettings() {
     requestHandler.applySettings(config.settings(), dynamicSettings);
     longestClientTimeout = Math.max(longestClientTimeout, dynamicSettings.longestClientTimeout());
-    applyTimeouts(dynamicSettings.overlay(config.settings())); // the file's, where it names none
+    // The timeouts of the file are used where the source has none.
+    applyTimeouts(dynamicSettings.overlay(config.settings()));
   }
 
   private void applyTimeouts(Settings settings) {
@@ -122,15 +123,19 @@
   }
 
   /**
-   * Watches another source or scope of settings, where one is watched.
+   * Watches another source or scope of settings. Logs a warning and changes nothing where no source
+   * is watched or the new configuration names none.
    *
    * @param subscription the subscription in use, or null
    * @param source the new source, or null
+   * @param scope the new scope; empty: none
    */
   void resubscribe(SettingsSubscription subscription, InetSocketAddress source, String scope) {
     if (subscription == null || source == null) {
       EventLog.warning(
-          "settings' source kept as it was", null, "only a restart begins or ends a watch");
+          "settings source not changed",
+          null,
+          "starting or stopping the watch on settings requires a restart");
     } else {
       subscription.changeSource(source, scope);
       discovery.changeScope(scope);
--- a/proxy/src/main/java/wheattrack/net/ControlOnlyProxy.java
+++ b/proxy/src/main/java/wheattrack/net/ControlOnlyProxy.java
@@ -15,8 +15,9 @@
 
 /**
  * The control plane of a proxy without its clients: the watch on the endpoint list, its parsing,
- * the policy with all its timers, and new settings. It serves to measure what these cost. Many
- * share one event loop; all methods run on its thread only. It ends with its loop.
+ * the policy with all its timers, and new settings. It is used to measure the cost of these. Many
+ * instances share one event loop; all methods run on its thread only. An instance has no shutdown
+ * of its own: it ends with its loop.
  */
 public final class ControlOnlyProxy {
   private final EventLoop loop;
@@ -26,10 +27,10 @@
   private final RequestHandler requestHandler;
 
   /**
-   * A proxy that begins to watch its list at once.
+   * Creates a proxy, which starts to watch the endpoint list immediately.
    *
-   * @param seed of its own random draws
-   * @param revisionListener called with each revision of the list once the policy uses it
+   * @param seed seed of the policy's random numbers
+   * @param revisionListener called with each revision of the endpoint list once the policy uses it
    */
   public ControlOnlyProxy(
       EventLoop loop,
@@ -51,10 +52,10 @@
   }
 
   /**
-   * Watches a source of settings, too.
+   * Watches a source of settings as well.
    *
-   * @param scope the scope asked for; empty: none
-   * @param seed of the random part of the pauses
+   * @param scope the requested scope; empty: none
+   * @param seed seed of the random part of the pauses between calls
    * @param revisionListener called with each revision of the settings once it is in force
    */
   public void watchSettings(
@@ -75,7 +76,7 @@
     subscription.watch();
   }
 
-  /** Puts a new configuration in force. */
+  /** Applies the settings and the discovery address of a new configuration. */
   public void reconfigure(ProxyConfig next) {
     requestHandler.applySettings(next.settings(), null);
     discovery.changeAddress(next.discovery());
--- a/proxy/src/main/java/wheattrack/net/JitWarmUp.java
+++ b/proxy/src/main/java/wheattrack/net/JitWarmUp.java
@@ -23,20 +23,37 @@
 import wheattrack.http.RequestDecoder;
 import wheattrack.http.Response;
 import wheattrack.http.ResponseDecoder;
+import wheattrack.http.StatusCode;
 import wheattrack.net.protocol.InvalidRequestException;
 import wheattrack.net.protocol.ParsedRequest;
 import wheattrack.net.protocol.ProtocolMapping;
 
 /**
- * Has the JVM compile the code of a request's path before the first real request: synthetic
- * messages pass the decoders, a policy of their own and the encoder, with no socket and a simulated
- * clock; each attempt is done at the next tick. Not thread-safe: create and run it on one thread.
+ * Makes the JVM compile the code that handles requests before the first real request: synthetic
+ * messages pass through the decoders, a policy instance used only here, and the encoder, without
+ * sockets and with a simulated clock. Each attempt ends a tenth of a millisecond after it was sent.
+ * Not thread-safe: create and run it on one thread.
  */
 final class JitWarmUp implements PolicyRuntime {
-  private static final int BACKENDS = 8;
+  private static final int BACKEND_COUNT = 8;
 
-  /** Simulated time between two rounds over the classes, in tenths of a millisecond. */
-  private static final long TICK = 20;
+  /** Simulated time between two rounds over the request classes, in tenths of a millisecond. */
+  private static final long ROUND_INTERVAL = 20;
+
+  /** Cost hint of the first request, in microseconds. */
+  private static final int FIRST_HINT = 1000;
+
+  /** Difference between the cost hints of successive requests, in microseconds. */
+  private static final int HINT_STEP = 7919;
+
+  /** Width of the range of cost hints, in microseconds. */
+  private static final int HINT_RANGE = 50_000;
+
+  /** Bodies of requests are shorter than this, in bytes. */
+  private static final int REQUEST_BODY_LIMIT = 512;
+
+  /** Bodies of responses are shorter than this, in bytes. */
+  private static final int RESPONSE_BODY_LIMIT = 200;
 
   private final Map<String, RequestClass> classes;
   private final TimerQueue timers = new TimerQueue();
@@ -45,12 +62,12 @@
   private final LoadBalancer loadBalancer;
   private long now = 1;
 
-  /** Creates a policy under these settings, with backends of its own. */
+  /** Creates a warm-up whose policy has these settings and simulated backends. */
   JitWarmUp(Settings settings) {
     RequestClass[] requestClasses = PolicySettingsMapper.requestClasses(settings);
     classes = PolicySettingsMapper.classesByName(settings, requestClasses);
     loadBalancer = LoadBalancerFactory.create(settings, this, 1, requestClasses, false);
-    for (int backend = 0; backend < BACKENDS; backend++) {
+    for (int backend = 0; backend < BACKEND_COUNT; backend++) {
       loadBalancer.updateBackend(
           new EndpointUpdate(backend, backend, true, 0, 0, 0, 1, BackendIndex.LONG_AGO, true));
     }
@@ -58,11 +75,11 @@
   }
 
   /**
-   * Runs one request of each class, and further rounds until a number of requests or a time is
-   * reached.
+   * Runs rounds of one request of each class until a number of requests or a time is reached; at
+   * least one round.
    *
-   * @param maxRequests no round begins after this number of requests
-   * @param maxNanos no round begins after this time, in nanoseconds
+   * @param maxRequests no further round begins after this number of requests
+   * @param maxNanos no further round begins after this time, in nanoseconds
    * @return the number of requests that were run
    */
   int run(int maxRequests, long maxNanos) {
@@ -74,11 +91,11 @@
           runRequest(className, requests);
           requests++;
         }
-        now += TICK;
+        now += ROUND_INTERVAL;
         runDueTasks();
       } while (requests < maxRequests && System.nanoTime() < deadline);
     } catch (MalformedMessageException | InvalidRequestException e) {
-      throw new IllegalStateException("a canned message is not taken", e);
+      throw new IllegalStateException("a synthetic warm-up message was rejected", e);
     }
     return requests;
   }
@@ -118,10 +135,11 @@
             .with("Request-Id", Integer.toHexString(number))
             .with("Request-Class", className)
             .with("Request-Timeout", "1.000")
-            .with("Work-Hint", Integer.toString(1000 + number * 7919 % 50_000))
+            .with("Work-Hint", Integer.toString(FIRST_HINT + number * HINT_STEP % HINT_RANGE))
             .with("Request-Info", "a=1,b=2");
     String method = number % 2 == 0 ? "POST" : "GET";
-    return new Request(method, "/" + className, headers, true, new byte[number % 512]);
+    return new Request(
+        method, "/" + className, headers, true, new byte[number % REQUEST_BODY_LIMIT]);
   }
 
   @Override
@@ -140,14 +158,16 @@
 
   private AttemptOutcome answer(byte[] requestBody) {
     Headers headers = new Headers().with("Content-Type", "application/json");
-    byte[] body = new byte[requestBody.length % 200];
-    responseDecoder.writableBuffer().put(Encoder.response(new Response(200, headers, true, body)));
+    byte[] body = new byte[requestBody.length % RESPONSE_BODY_LIMIT];
+    responseDecoder
+        .writableBuffer()
+        .put(Encoder.response(new Response(StatusCode.OK, headers, true, body)));
     try {
       Response answer = responseDecoder.next();
       Encoder.response(ProtocolMapping.forwardedAnswer(answer, true, true));
       return ProtocolMapping.attemptOutcome(answer);
     } catch (MalformedMessageException e) {
-      return AttemptOutcome.ERROR; // not reached: synthetic answers are well-formed
+      return AttemptOutcome.ERROR; // unreachable: synthetic answers are well-formed
     }
   }
 
@@ -163,7 +183,7 @@
 
   @Override
   public void fail(PendingRequest request) {
-    Encoder.response(ProtocolMapping.textAnswer(502, "given up", true));
+    Encoder.response(ProtocolMapping.textAnswer(StatusCode.BAD_GATEWAY, "given up", true));
   }
 
   @Override
--- a/proxy/src/main/java/wheattrack/net/ProcessHandover.java
+++ b/proxy/src/main/java/wheattrack/net/ProcessHandover.java
@@ -9,8 +9,8 @@
 import wheattrack.net.request.RequestHandler;
 
 /**
- * The handover of the listening address from an older process of this proxy to a newer one: watches
- * for the other process, shares the descriptors with it, and shuts this process down gracefully.
+ * The handover of the listening address from an older process of this proxy to a newer one: checks
+ * for the other process, divides the descriptors with it, and shuts this process down gracefully.
  * Runs on the event loop's thread only. Times are tenths of a millisecond.
  */
 final class ProcessHandover {
@@ -27,12 +27,13 @@
   private final ClientListener clientListener;
   private final Connector connector;
   private final RequestHandler requestHandler;
-  private final Runnable controlCloser;
+  private final Runnable controlPlaneCloser;
 
   /**
-   * A handover that has not begun.
+   * Creates a handover that has not begun.
    *
-   * @param controlCloser closes, at the end, what belongs neither to clients nor to backends
+   * @param controlPlaneCloser closes, at the end of the shutdown, the connections and sockets that
+   *     belong neither to clients nor to backends
    */
   ProcessHandover(
       EventLoop loop,
@@ -42,7 +43,7 @@
       ClientListener clientListener,
       Connector connector,
       RequestHandler requestHandler,
-      Runnable controlCloser) {
+      Runnable controlPlaneCloser) {
     this.loop = loop;
     this.lifecycle = lifecycle;
     this.processLock = processLock;
@@ -50,7 +51,7 @@
     this.clientListener = clientListener;
     this.connector = connector;
     this.requestHandler = requestHandler;
-    this.controlCloser = controlCloser;
+    this.controlPlaneCloser = controlPlaneCloser;
   }
 
   /** Checks for another process of this proxy, now and periodically from now on. */
@@ -69,7 +70,7 @@
 
   /**
    * Begins the graceful shutdown, unless it has begun: keeps accepting requests for the configured
-   * time, unless a newer process takes the new connections; then answers all accepted requests,
+   * time, unless a newer process accepts the new connections; then answers all accepted requests,
    * closes all connections and stops the loop.
    */
   void drain() {
@@ -77,7 +78,7 @@
       return;
     }
     if (processLock.refresh() == ProcessLock.Role.OLDER) {
-      clientListener.stopAccepting(); // new connections are the newer process's
+      clientListener.stopAccepting(); // the newer process accepts the new connections
     } else if (clientListener.isListening()) {
       clientListener.startAccepting(); // clients in the accept queue must get an answer
     }
@@ -101,7 +102,7 @@
             && requestHandler.openRequests() == 0;
     if (isAnswered || loop.now() >= deadline) {
       connector.closeAll();
-      controlCloser.run();
+      controlPlaneCloser.run();
       loop.shutdown();
     } else {
       loop.schedule(CLOSE_CHECK_INTERVAL, () -> loop.execute(() -> stopWhenAnswered(deadline)));
--- a/proxy/src/main/java/wheattrack/net/ProcessLock.java
+++ b/proxy/src/main/java/wheattrack/net/ProcessLock.java
@@ -10,9 +10,9 @@
 
 /**
  * Detects whether two processes of one proxy run at the same time. Each locks one byte of a file
- * that both can reach: the older process the first, the newer one the second. The system releases a
- * lock when its holder ends, however it ends, so a file that a dead process left is no hindrance.
- * Runs on the event loop's thread only.
+ * that both can access: the older process the first, the newer one the second. The system releases
+ * a lock when its holder exits for any reason, so that the file left by a dead process blocks no
+ * later one. Runs on the event loop's thread only.
  */
 final class ProcessLock {
   /** This process's role among the processes of the same proxy. */
@@ -36,11 +36,11 @@
   /**
    * Opens the lock file and determines the role.
    *
-   * @param folder folder that both processes can reach; where the file can't be opened there, this
-   *     process counts as alone. null: no lock is used and the process is alone, as at a port that
-   *     the system chooses, which no two processes share: two builds at once shared the lock, and
-   *     the second class archive training hung
-   * @param proxyAddress the proxy's listening address, which names the file
+   * @param folder folder that both processes can access; if the file cannot be opened there, the
+   *     role is {@link Role#ALONE}. null: no lock is used and the role is ALONE, as for a port that
+   *     the system chooses. No two processes share such a port, but they would share the lock of
+   *     port 0: with it, of two builds on one machine, the second class archive training hung
+   * @param proxyAddress the proxy's listening address, from which the file's name is derived
    */
   ProcessLock(Path folder, String proxyAddress) {
     file = folder == null ? null : open(folder, proxyAddress);
@@ -56,12 +56,15 @@
           StandardOpenOption.READ,
           StandardOpenOption.WRITE);
     } catch (IOException | RuntimeException e) {
-      EventLog.warning("no seat", null, "counts as the only process of this proxy: " + e);
+      EventLog.warning(
+          "cannot open the lock file",
+          null,
+          "assuming that no other process of the proxy at " + proxyAddress + " runs: " + e);
       return null;
     }
   }
 
-  /** Checks the locks again, and returns the resulting role; to be called periodically. */
+  /** Tests the locks again and returns the resulting role; to be called periodically. */
   Role refresh() {
     if (file == null) {
       return role;
@@ -70,7 +73,7 @@
     try {
       role = acquireLocks();
     } catch (IOException e) {
-      EventLog.warning("seats can't be read", null, e.toString());
+      EventLog.warning("cannot test the lock file", null, "role remains " + role + ": " + e);
     }
     if (role != previous) {
       EventLog.info("process", role.name(), description(role));
@@ -90,16 +93,16 @@
     }
     release(secondLock);
     secondLock = null;
-    FileLock trial = tryLock(SECOND_BYTE);
-    release(trial);
-    return trial == null ? Role.OLDER : Role.ALONE;
+    FileLock testLock = tryLock(SECOND_BYTE);
+    release(testLock);
+    return testLock == null ? Role.OLDER : Role.ALONE;
   }
 
   private static String description(Role role) {
     return switch (role) {
-      case ALONE -> "no other process of this proxy";
-      case OLDER -> "a newer process has begun";
-      case NEWER -> "an older process is not gone yet";
+      case ALONE -> "no other process of this proxy runs";
+      case OLDER -> "a newer process of this proxy has started";
+      case NEWER -> "an older process of this proxy still runs";
     };
   }
 
@@ -113,7 +116,7 @@
     return role != Role.ALONE;
   }
 
-  /** Tries to lock the byte at this position; null: another process holds it. */
+  /** Tries to lock the byte at this position; returns null if another process holds it. */
   private FileLock tryLock(int position) throws IOException {
     try {
       return file.tryLock(position, 1, false);
@@ -137,7 +140,7 @@
         file.close();
       }
     } catch (IOException e) {
-      EventLog.warning("the seat", null, e.toString());
+      EventLog.warning("cannot release the lock file", null, e.toString());
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/net/ProxyServer.java
+++ b/proxy/src/main/java/wheattrack/net/ProxyServer.java
@@ -25,10 +25,10 @@
 import wheattrack.net.settings.SettingsSubscription;
 
 /**
- * One proxy on real sockets: builds its parts and takes them through the phases from start to exit.
- * Its public methods may be called from any thread; what they begin runs on the event loop's
- * thread, which is the one that calls {@link #run}. Times are tenths of a millisecond unless said
- * otherwise.
+ * One proxy on real sockets: creates its components and takes them through the phases from start to
+ * exit. Its public methods may be called from any thread; the work that they start runs on the
+ * event loop's thread, which is the one that calls {@link #run}. Times are in tenths of a
+ * millisecond unless stated otherwise.
  */
 public final class ProxyServer {
   private static final Logger LOG = Logger.getLogger("wheattrack");
@@ -36,29 +36,32 @@
   /** How often readiness is checked while warming up. */
   private static final long READINESS_CHECK_INTERVAL = 100;
 
-  /** Requests that the warm-up simulates, at most. */
+  /** The warm-up starts no further round once it has simulated this number of requests. */
   private static final int MAX_WARM_UP_REQUESTS = 4000;
 
   /**
-   * Time limit of the warm-up, in nanoseconds. With 400 ms, clients of ten proxies killed in a mass
-   * restart waited that much longer or were rejected.
+   * Time limit of the warm-up, in nanoseconds, where no older process serves in the meantime. With
+   * 400 ms, clients of ten proxies killed in a mass restart waited that much longer or were
+   * rejected.
    */
   private static final long WARM_UP_TIMEOUT_NANOS = 20_000_000;
 
-  /** The same, in nanoseconds, while an older process still serves. */
+  /** Time limit of the warm-up, in nanoseconds, while an older process still serves. */
   private static final long HANDOVER_WARM_UP_TIMEOUT_NANOS = 400_000_000;
 
   /**
    * How long to wait for discovery's list before the cached one is used: a watch that is silent for
-   * this long is dead. Incident: in a mass restart the cached list named drained backends. Clients
-   * wait as long as connecting to a backend may take, then are rejected.
+   * this long counts as broken. Using the cached list earlier would send requests to backends that
+   * were drained since it was written, as in a mass restart. Until then, clients wait for as long
+   * as connecting to a backend may take, and are rejected after that.
    */
   private static final long LIST_TIMEOUT = WatchConnection.SILENCE_TIMEOUT;
 
   /**
-   * The same where discovery answers and its list can't be read: a proxy that knows no backend
-   * would take clients from those that do. It becomes ready all the same in the time that a restart
-   * may take.
+   * How long to wait where discovery answers but its list cannot be parsed and there is no other
+   * list: a proxy that is ready without a backend would draw clients away from proxies that have
+   * backends. The wait is bounded so that the proxy still becomes ready within the time that a
+   * restart may take.
    */
   private static final long UNREADABLE_LIST_TIMEOUT = 2 * WatchConnection.SILENCE_TIMEOUT;
 
@@ -72,12 +75,12 @@
   private final RequestHandler requestHandler;
   private final ClientListener clientListener;
 
-  /** Null: no admin address is configured. */
+  /** Null if no admin address is configured. */
   private final AdminServer admin;
 
   private final ConfigurationReloader reloader;
 
-  /** Null: no source of settings is watched. */
+  /** Null if no source of settings is watched. */
   private final SettingsSubscription settingsSubscription;
 
   private final ProcessHandover handover;
@@ -87,7 +90,7 @@
   private String listenFault;
 
   /**
-   * A proxy that reads no load from backends' answers and watches no source of settings.
+   * Creates a proxy that reads no load from backends' answers and watches no source of settings.
    *
    * @throws IOException if its sockets cannot be opened
    * @throws InvalidConfigurationException if the admin address cannot be bound
@@ -97,7 +100,7 @@
   }
 
   /**
-   * A proxy that watches no source of settings.
+   * Creates a proxy that watches no source of settings.
    *
    * @param loadHeader header of backends' answers that holds their load; empty: answers hold none
    * @throws IOException if its sockets cannot be opened
@@ -108,12 +111,12 @@
   }
 
   /**
-   * A proxy. It listens at once, unless an older process still has the address, and accepts once it
-   * runs.
+   * Creates a proxy. It listens immediately, unless an older process still listens at the address,
+   * and accepts connections once it runs.
    *
    * @param loadHeader header of backends' answers that holds their load; empty: answers hold none
    * @param settingsSource where settings are watched, or null
-   * @param scope goes with requests for settings and for the endpoint list; empty: none
+   * @param scope the scope sent with requests for settings and for the endpoint list; empty: none
    * @throws IOException if its sockets cannot be opened
    * @throws InvalidConfigurationException if the admin address cannot be bound
    */
@@ -158,10 +161,10 @@
             clientListener,
             connector,
             requestHandler,
-            this::closeControl);
+            this::closeControlPlane);
   }
 
-  /** The folder that all processes of this proxy can reach. */
+  /** The folder of the lock file, which all processes of this proxy can access. */
   private static Path sharedFolder() {
     String folder = System.getenv("TMPDIR");
     return Path.of(
@@ -205,23 +208,23 @@
       return new AdminServer(loop, group, lifecycle, address, metrics::text);
     } catch (IOException e) {
       throw new InvalidConfigurationException(
-          "admin", address + " can't be had: " + e.getMessage());
+          "admin", "cannot bind " + address + ": " + e.getMessage());
     }
   }
 
   /**
-   * The port of the admin address; of use where the configuration leaves the choice to the system.
+   * The port of the admin address; useful where the configured port is 0 and the system chooses it.
    *
-   * @throws IOException if it is closed
+   * @throws IOException if the admin address is closed
    */
   public int adminPort() throws IOException {
     return admin.port();
   }
 
   /**
-   * The port it listens at; of use where the configuration leaves the choice to the system.
+   * The port that it listens at; useful where the configured port is 0 and the system chooses it.
    *
-   * @throws IOException if it is closed
+   * @throws IOException if the listening socket is closed
    */
   public int port() throws IOException {
     return clientListener.port();
@@ -270,12 +273,12 @@
   }
 
   /**
-   * Starts to serve once the list and the settings are there or have been awaited for long enough;
-   * else checks again later.
+   * Starts to serve once the endpoint list and the settings were received or the time limit for
+   * them has passed; otherwise checks again later.
    */
   private void serveWhenReady(long waitingSince) {
     if (lifecycle.isShuttingDown()) {
-      return; // shut down before it was ready: no client is accepted
+      return; // the shutdown began before the proxy was ready: no client is accepted
     }
     long waited = loop.now() - waitingSince;
     boolean isReady = discovery.hasList() && !reloader.isWaitingForSource();
@@ -302,7 +305,8 @@
   }
 
   /**
-   * Accepts clients from now on, as they can be served. A newer process binds its address only now.
+   * Accepts clients from now on, as they can be served. A newer process binds the listening address
+   * only now, as until now the older process serves there.
    */
   private void openToClients() {
     InetSocketAddress address = reloader.config().listen();
@@ -312,12 +316,12 @@
       }
       clientListener.startAccepting();
     } catch (IOException e) {
-      listenFault = address + " can't be had: " + e.getMessage();
+      listenFault = "cannot bind " + address + ": " + e.getMessage();
       loop.shutdown();
     }
   }
 
-  private void closeControl() {
+  private void closeControlPlane() {
     if (settingsSubscription != null) {
       settingsSubscription.close();
     }
@@ -348,8 +352,11 @@
   }
 
   /**
-   * Watches another source or scope of settings, in a step of the event loop; only a restart begins
-   * or ends a watch.
+   * Watches another source or scope of settings, in a step of the event loop. Starting to watch a
+   * source, or stopping, requires a restart.
+   *
+   * @param source the new source, or null
+   * @param scope the new scope; empty: none
    */
   public void resubscribe(InetSocketAddress source, String scope) {
     loop.execute(() -> reloader.resubscribe(settingsSubscription, source, scope));
