--- a/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
@@ -15,9 +15,9 @@
 import wheattrack.net.discovery.EndpointListParser.State;
 
 /**
- * The connection pools of the listed backends, by id and by the policy's index. Entries of the
- * endpoint list are applied to the pools and passed on to the policy. Runs on the event loop's
- * thread only.
+ * The connection pools of the backends, by id and by the policy's index. Applies entries of the
+ * endpoint list to the pools and passes them on to the policy. Runs on the event loop's thread
+ * only.
  */
 final class BackendPoolTable {
   private final BackendIndex<String, BackendConnectionPool> index;
@@ -25,12 +25,14 @@
   private int overLimitCount;
   private LoadBalancer loadBalancer;
 
-  /** An empty table whose pools connect by this connector. */
+  /** Creates an empty table whose pools open connections through this connector. */
   BackendPoolTable(Connector connector) {
-    index = new BackendIndex<>((id, at) -> new BackendConnectionPool(id, at, connector));
+    index =
+        new BackendIndex<>(
+            (id, backendIndex) -> new BackendConnectionPool(id, backendIndex, connector));
   }
 
-  /** Sets the policy that is notified of each entry; to be called before any is applied. */
+  /** Sets the policy that is notified of each entry; to be called before one is applied. */
   void setLoadBalancer(LoadBalancer loadBalancer) {
     this.loadBalancer = loadBalancer;
   }
@@ -45,12 +47,12 @@
     return index.listedCount();
   }
 
-  /** Number of listed backends beyond those that the policy knows at once; they get no requests. */
+  /** Number of listed backends beyond the policy's limit; they receive no requests. */
   int unusedCount() {
     return index.listedCountFrom(LoadBalancer.MAX_BACKENDS);
   }
 
-  /** Resets what {@link #logChanges} logs. */
+  /** Begins an update: clears the changes that {@link #logChanges} logs. */
   void beginUpdate() {
     newlyListed.clear();
     overLimitCount = 0;
@@ -87,8 +89,8 @@
   private void update(Listed entry, boolean isStale) {
     String id = entry.id();
     long number = EndpointListParser.backendNumber(id);
-    BackendConnectionPool known = index.find(id);
-    boolean hasLeft = isStale && known != null && known.hasLeftSince(entry.startedAt());
+    BackendConnectionPool knownPool = index.find(id);
+    boolean hasLeft = isStale && knownPool != null && knownPool.hasLeftSince(entry.startedAt());
     BackendConnectionPool pool = index.getOrAdd(id);
     boolean isNewlyListed = index.markListed(pool);
     if (isNewlyListed) {
@@ -121,8 +123,8 @@
   }
 
   /**
-   * Logs what has changed since {@link #beginUpdate}, a line for each kind of change whatever the
-   * number of backends: a line for each backend took 2 ms at a start.
+   * Logs the changes since {@link #beginUpdate}, with one line for each kind of change and not for
+   * each backend: a line for each backend took 2 ms at a start.
    *
    * @param entryCount number of entries in the event
    */
@@ -134,7 +136,7 @@
       EventLog.warning(
           "left out " + overLimitCount + " of " + entryCount + " entries of the list",
           null,
-          LoadBalancer.MAX_BACKENDS + " backends are known at most");
+          "the policy uses at most " + LoadBalancer.MAX_BACKENDS + " backends");
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/net/discovery/EndpointDiscovery.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/EndpointDiscovery.java
@@ -18,9 +18,9 @@
 import wheattrack.net.backend.Connector;
 
 /**
- * The endpoint list: keeps a watch on discovery and applies its events. The policy decides how long
- * to wait after a failed watch, and calls {@link #watchEndpoints} then. Runs on the event loop's
- * thread only.
+ * Keeps a watch on discovery open and applies its events to the endpoint list. The policy decides
+ * how long to wait after a failed watch, and then calls {@link #watchEndpoints}. Runs on the event
+ * loop's thread only.
  */
 public final class EndpointDiscovery {
   private static final String PATH = "/v1/endpoints";
@@ -35,21 +35,21 @@
   private LongConsumer revisionListener = revision -> {};
   private WatchConnection watch;
 
-  /** Revision of the list in use; negative: none. */
+  /** Revision of the endpoint list in use; negative if there is none. */
   private long revision = -1;
 
   /** Whether discovery answers, but with events that cannot be parsed or exceed a limit. */
   private boolean isUnreadable;
 
-  /** The cached list, until it is used or discovery has sent one; null afterwards, or if empty. */
+  /** The cached list until it is used or an event is received; null afterwards, or if empty. */
   private JsonObjectReader cachedList;
 
   /**
-   * A discovery whose watch is not open yet.
+   * Creates a discovery whose watch is not open yet.
    *
-   * @param connector by which the backends' pools connect
-   * @param config names discovery's address, the zones and kinds, and the cached list
-   * @param scope goes with each request for the list; empty: none
+   * @param connector opens the connections to backends
+   * @param config has discovery's address, the zones and kinds, and the cached list
+   * @param scope the scope sent with each request for the list; empty: none
    */
   public EndpointDiscovery(
       EventLoop loop,
@@ -73,7 +73,7 @@
     pools.setLoadBalancer(loadBalancer);
   }
 
-  /** Sets the listener that is called with each revision once the policy uses it. */
+  /** Sets the listener that is called with each revision of the list once the policy uses it. */
   public void setRevisionListener(LongConsumer revisionListener) {
     this.revisionListener = revisionListener;
   }
@@ -93,7 +93,7 @@
     return pools.listedCount();
   }
 
-  /** Number of listed backends beyond those that the policy knows at once; they get no requests. */
+  /** Number of listed backends beyond the policy's limit; they receive no requests. */
   public int unusedCount() {
     return pools.unusedCount();
   }
@@ -108,7 +108,7 @@
     return isUnreadable;
   }
 
-  /** Uses the cached list, if there is one and discovery has sent none. */
+  /** Applies the cached list, if there is one and no list has been received from discovery. */
   public void useCachedList() {
     if (cachedList != null) {
       JsonObjectReader cached = cachedList;
@@ -118,15 +118,16 @@
   }
 
   /**
-   * Opens a watch from the revision in use on, unless one is open. After a useful watch, the first
-   * line is due sooner, so that a second silent watch is detected in time.
+   * Opens a watch for the events after the revision in use, unless a watch is open. If the previous
+   * watch delivered valid lines, the timeout for the first line is shorter, so that a second silent
+   * watch is detected in time.
    */
   public void watchEndpoints() {
     if (watch != null && !watch.isClosed()) {
       return;
     }
     long firstLineTimeout =
-        watch != null && watch.wasUseful()
+        watch != null && watch.deliveredValidLines()
             ? WatchConnection.FIRST_LINE_TIMEOUT
             : WatchConnection.SILENCE_TIMEOUT;
     try {
@@ -136,14 +137,14 @@
               group,
               new WatchConnection.Target(address, PATH, revision, scope),
               firstLineTimeout,
-              this::received,
-              this::failed);
+              this::onLine,
+              this::onWatchFailed);
     } catch (IOException e) {
-      failed(e.toString(), false, false);
+      onWatchFailed(e.toString(), false, false);
     }
   }
 
-  /** Sends this scope with requests from now on, and asks for the complete list of it. */
+  /** Sends this scope with requests from now on, and requests the complete list of the scope. */
   public void changeScope(String newScope) {
     if (!newScope.equals(scope)) {
       scope = newScope;
@@ -153,7 +154,7 @@
 
   /**
    * Watches at this address from now on, beginning with the complete list, as the revisions there
-   * may be a series of their own.
+   * may be unrelated to those of the previous address.
    */
   public void changeAddress(InetSocketAddress newAddress) {
     if (!newAddress.equals(address)) {
@@ -171,21 +172,22 @@
   }
 
   /**
-   * A silent watch is replaced at once: its timeout was pause enough. Incident: discovery was
-   * silent for longer than one watch timeout, and its changes already counted as notified while the
-   * next watch was still held back for up to 1.5 s.
+   * Opens a new watch immediately after a silent one, whose timeout already served as the pause;
+   * after any other failure, the policy decides on the pause. With a pause after a silent watch,
+   * when discovery was silent for longer than one watch timeout, the next watch was delayed by up
+   * to 1.5 s while discovery's changes already counted as notified.
    */
-  private void failed(String reason, boolean isSilent, boolean wasUseful) {
+  private void onWatchFailed(String reason, boolean isSilent, boolean deliveredValidLines) {
     EventLog.info("watch on the list", null, reason);
     isUnreadable = watch != null && watch.isUnreadable();
     if (isSilent) {
       watchEndpoints();
     } else {
-      loadBalancer.endpointListFailed(wasUseful);
+      loadBalancer.endpointListFailed(deliveredValidLines);
     }
   }
 
-  private void received(String line) {
+  private void onLine(String line) {
     try {
       JsonObjectReader event = new JsonObjectReader(Json.object(line));
       if (cachedList != null && needsCachedList(event)) {
@@ -194,22 +196,26 @@
       cachedList = null;
       apply(event, false);
     } catch (IOException | InvalidConfigurationException e) {
-      // The list is requested again.
-      watch.failUnreadable("skipped news that can't be read: " + WatchConnection.firstLine(e));
+      // The watch ends, and the next one requests the events after the revision in use again.
+      watch.failUnreadable("invalid event: " + WatchConnection.firstLineOfMessage(e));
     }
   }
 
-  /** Whether an event changes the cached list, or is older and must bring nothing back in it. */
+  /**
+   * Whether the cached list must be applied before this event: the event contains only changes, or
+   * it is older than the cached list and must not reinstate backends that are draining according to
+   * the cached list.
+   */
   private boolean needsCachedList(JsonObjectReader event) {
     return !event.flag("all") || event.wholeNumber("rev", -1) < cachedList.wholeNumber("rev", -1);
   }
 
   /**
-   * Applies an event. Changes of an older revision are skipped: they could reinstate a drained
-   * backend. A complete list of an older revision is applied, as its source may have restarted, but
-   * reinstates none either.
+   * Applies an event. Changes of an older revision are skipped, as they could reinstate a drained
+   * backend. A complete list of an older revision is applied, as discovery may have restarted, but
+   * it does not reinstate a backend that is draining or removed either.
    *
-   * @param isCached whether it is the cached list
+   * @param isCached whether the event is the cached list
    */
   private void apply(JsonObjectReader eventFields, boolean isCached) {
     EndpointListParser.Event event = EndpointListParser.event(eventFields, revision);
@@ -247,7 +253,7 @@
         skippedCount++;
       }
     }
-    if (skippedCount > 0) { // one line, whatever the number of entries
+    if (skippedCount > 0) { // a single line for all skipped entries
       EventLog.warning(
           "skipped " + skippedCount + " of " + entries.size() + " entries of the list",
           null,
--- a/proxy/src/main/java/wheattrack/net/discovery/EndpointListParser.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/EndpointListParser.java
@@ -9,10 +9,13 @@
 import wheattrack.config.JsonObjectReader;
 import wheattrack.config.SocketAddressParser;
 
-/** Reads events of the endpoint list, in discovery's form, into typed entries. Stateless. */
+/** Parses discovery's events of the endpoint list into typed entries. Immutable. */
 final class EndpointListParser {
+  /** A hexadecimal number that fits in a non-negative long. */
   private static final Pattern HEXADECIMAL = Pattern.compile("[0-9a-f]{1,15}");
-  private static final int TENTHS_PER_MILLISECOND = 10;
+
+  /** Tenths of a millisecond in a millisecond. */
+  private static final int TICKS_PER_MILLISECOND = 10;
 
   /** The state of an entry that has left the list. */
   private static final String DELETED = "DELETED";
@@ -20,14 +23,15 @@
   /**
    * One event of the list.
    *
-   * @param entries its entries, one for each backend, not yet parsed: an invalid one does not
-   *     affect the others
-   * @param revision the revision that it leads to
-   * @param isSnapshot whether it is the complete list; else it names what has changed
+   * @param entries its entries, one for each backend, not yet parsed, so that an invalid one does
+   *     not affect the others
+   * @param revision the revision of the list after this event
+   * @param isSnapshot whether it is the complete list; otherwise it contains only the changed
+   *     entries
    */
   record Event(List<JsonObjectReader> entries, long revision, boolean isSnapshot) {}
 
-  /** What the list says of one backend. */
+  /** One entry of the list, which concerns one backend. */
   sealed interface Entry {
     /** The backend's id. */
     String id();
@@ -41,8 +45,8 @@
    *
    * @param id its id
    * @param state whether it serves or drains
-   * @param endpoint its address as the list writes it
-   * @param address the same, parsed
+   * @param endpoint its address as text, as in the list
+   * @param address its address, parsed
    * @param startedAt when it started, in tenths of a millisecond; 0 or less: unknown
    * @param zone index of its zone; -1: none of the configured ones
    * @param kind index of its kind; 0 also where it is none of the configured ones
@@ -61,7 +65,7 @@
       double weight)
       implements Entry {}
 
-  /** States of a listed backend; log lines name them as on the wire. */
+  /** States of a listed backend. The names of the constants are used on the wire and in the log. */
   enum State {
     SERVING,
     DRAINING
@@ -70,7 +74,7 @@
   private final List<?> zones;
   private final List<?> kinds;
 
-  /** A parser for these names of zones and kinds, in the order of their indexes. */
+  /** Creates a parser for these names of zones and kinds, in the order of their indexes. */
   EndpointListParser(List<?> zones, List<?> kinds) {
     this.zones = zones;
     this.kinds = kinds;
@@ -84,8 +88,8 @@
   /**
    * Reads an event, but not its entries.
    *
-   * @param currentRevision the revision of an event that names none
-   * @throws InvalidConfigurationException if a field is of a wrong kind
+   * @param currentRevision the revision of an event that has no field for it
+   * @throws InvalidConfigurationException if a field is of a wrong type
    */
   static Event event(JsonObjectReader event, long currentRevision) {
     List<JsonObjectReader> entries = event.sections("targets");
@@ -94,8 +98,8 @@
   }
 
   /**
-   * The id of an entry as it stands there, whether or not the rest of the entry can be parsed; null
-   * where there is none.
+   * The id of an entry, of any type, whether or not the rest of the entry can be parsed; null if it
+   * has none.
    */
   static Object rawId(JsonObjectReader entry) {
     return entry.any("uid");
@@ -104,7 +108,7 @@
   /**
    * Parses an entry.
    *
-   * @throws InvalidConfigurationException if a field is missing or of a wrong kind, or the state is
+   * @throws InvalidConfigurationException if a field is missing or of a wrong type, or the state is
    *     unknown
    */
   Entry entry(JsonObjectReader entry) {
@@ -113,31 +117,34 @@
     if (stateName.equals(DELETED)) {
       return new Deleted(id);
     }
-    State state = state(stateName);
+    State state = state(stateName, id);
     String endpoint = entry.text("endpoint");
     return new Listed(
         id,
         state,
         endpoint,
         SocketAddressParser.parse("endpoint", endpoint),
-        (long) (entry.number("boot_ms", 0) * TENTHS_PER_MILLISECOND),
+        (long) (entry.number("boot_ms", 0) * TICKS_PER_MILLISECOND),
         zones.indexOf(entry.text("az", "")),
         Math.max(0, kinds.indexOf(entry.text("model", ""))),
         entry.integer("pod_group", 0),
         entry.number("capacity_hint", 1));
   }
 
-  private static State state(String name) {
+  private static State state(String name, String id) {
     return switch (name) {
       case "SERVING" -> State.SERVING;
       case "DRAINING" -> State.DRAINING;
-      default -> throw new InvalidConfigurationException("state", "unknown: " + name);
+      default ->
+          throw new InvalidConfigurationException(
+              "state", "expected SERVING, DRAINING or DELETED, got " + name + " for uid " + id);
     };
   }
 
   /**
-   * A number for a backend's id, the same at every proxy; the policy orders backends by it, and log
-   * lines name them so. It is the hexadecimal number behind the last hyphen, else a checksum.
+   * The number of a backend, derived from its id and the same in every proxy. The policy orders
+   * backends by it, and log lines identify them by it. It is the hexadecimal number after the id's
+   * last hyphen, or a checksum of the id if there is none.
    */
   static long backendNumber(String id) {
     String suffix = id.substring(id.lastIndexOf('-') + 1);
--- a/proxy/src/main/java/wheattrack/net/discovery/WatchConnection.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/WatchConnection.java
@@ -15,8 +15,8 @@
 import wheattrack.http.Request;
 
 /**
- * One watch on the endpoint list or on the settings: a request whose answer delivers one event a
- * line, until the connection breaks or stays silent for too long. Runs on the event loop's thread
+ * One watch on the endpoint list or on the settings: a request whose response delivers one event
+ * per line, until the connection breaks or is silent for too long. Runs on the event loop's thread
  * only. Times are tenths of a millisecond.
  */
 public final class WatchConnection extends TcpConnection {
@@ -27,31 +27,39 @@
   public static final long SILENCE_TIMEOUT = 30_000;
 
   /**
-   * The same for the first line after a silent watch. Discovery answers at once, and an event that
-   * a silent watch misses counts as notified 6 s after the silence began: a second silent watch
-   * must not use up the rest of that time.
+   * Timeout for the first line of a watch that follows a watch with valid lines. Discovery answers
+   * immediately, and a change that a silent watch misses counts as notified 6 s after the silence
+   * began: a second silent watch must not use up the rest of that time.
    */
   static final long FIRST_LINE_TIMEOUT = SILENCE_TIMEOUT / 2;
 
   /**
-   * A rule of the operators: after a failed call, a change counts as notified this long after
-   * discovery had it and could be reached.
+   * Operators' rule: after a failed call, the proxy counts as notified of a change at this time
+   * after discovery has the change and is reachable.
    */
   private static final long NOTIFICATION_LIMIT = 60_000;
 
+  /** Time reserved for connecting again and reading the complete list. */
+  private static final long RECONNECT_TIME = NOTIFICATION_LIMIT / 6;
+
   /**
-   * The longest pause between two calls that keeps to that limit. A call that is open when
-   * discovery recovers and receives nothing uses up one silence timeout; connecting again and
-   * reading the complete list takes a sixth of the limit; the rest is left for the pause.
+   * The longest pause between two calls that observes the notification limit. A call that is open
+   * when discovery recovers and receives nothing uses up one silence timeout; the rest of the
+   * limit, without the time to reconnect, is left for the pause.
    */
-  private static final long MAX_PAUSE =
-      NOTIFICATION_LIMIT - SILENCE_TIMEOUT - NOTIFICATION_LIMIT / 6;
+  private static final long MAX_PAUSE = NOTIFICATION_LIMIT - SILENCE_TIMEOUT - RECONNECT_TIME;
+
+  /** The policy's longest pause is 3/8 of its poll interval; this is the numerator. */
+  private static final int PAUSE_NUMERATOR = 3;
+
+  /** The policy's longest pause is 3/8 of its poll interval; this is the denominator. */
+  private static final int PAUSE_DENOMINATOR = 8;
 
   /**
-   * The greatest poll interval that the policy may use. It pauses for three eighths of the interval
-   * at most; with a longer setting it held calls back for 22 s.
+   * The longest poll interval that the policy may use, so that its pauses are at most {@link
+   * #MAX_PAUSE}. With a longer setting, calls were delayed by 22 s.
    */
-  public static final long MAX_POLL_INTERVAL = MAX_PAUSE * 8 / 3;
+  public static final long MAX_POLL_INTERVAL = MAX_PAUSE * PAUSE_DENOMINATOR / PAUSE_NUMERATOR;
 
   /** Notified once, when a watch ends. */
   @FunctionalInterface
@@ -59,11 +67,11 @@
     /**
      * The watch has ended.
      *
-     * @param reason for the log
+     * @param reason the reason, for the log
      * @param isSilent whether it ended because no complete line was received in time
-     * @param wasUseful whether it had delivered a complete line that could be parsed
+     * @param deliveredValidLines whether it had delivered complete lines, all of them valid
      */
-    void watchFailed(String reason, boolean isSilent, boolean wasUseful);
+    void watchFailed(String reason, boolean isSilent, boolean deliveredValidLines);
   }
 
   /**
@@ -71,11 +79,11 @@
    *
    * @param address where the source listens
    * @param path the resource
-   * @param afterRevision the revision whose successors are asked for; negative: a complete snapshot
-   * @param scope the scope asked for; empty: none
+   * @param afterRevision requests the events after this revision; negative: a complete snapshot
+   * @param scope the requested scope; empty: none
    */
   public record Target(InetSocketAddress address, String path, long afterRevision, String scope) {
-    /** The request target, as it stands on the wire. */
+    /** The request target as sent on the wire. */
     @Override
     public String toString() {
       return path
@@ -91,7 +99,7 @@
   private final long firstLineTimeout;
   private TimerQueue.Timer silenceTimer;
   private boolean hasReceivedBytes;
-  private boolean wasUseful;
+  private boolean deliveredValidLines;
   private boolean isUnreadable;
 
   private WatchConnection(
@@ -109,8 +117,8 @@
   /**
    * Opens a watch.
    *
-   * @param firstLineTimeout time allowed until the first complete line, from the call and again
-   *     from the first byte
+   * @param firstLineTimeout timeout for the first complete line; it starts with this call and
+   *     starts again with the first byte received
    * @param lineListener receives each line that is not empty
    * @throws IOException if no socket can be opened; the failure listener is not notified then
    */
@@ -135,8 +143,8 @@
     return watch;
   }
 
-  /** The first line of an error's message, for the log. */
-  public static String firstLine(Exception error) {
+  /** The first line of an exception's message, for the log. */
+  public static String firstLineOfMessage(Exception error) {
     return String.valueOf(error.getMessage()).split("\n")[0];
   }
 
@@ -155,15 +163,16 @@
     loop.cancel(silenceTimer);
     silenceTimer =
         loop.schedule(
-            timeout, () -> fail(decoder.isMidLine() ? "news that does not end" : "silent", true));
+            timeout,
+            () -> fail(decoder.isMidLine() ? "line not completed in time" : "silent", true));
   }
 
-  /** Whether it has delivered a complete line, and none that could not be parsed. */
-  boolean wasUseful() {
-    return wasUseful;
+  /** Whether it has delivered complete lines, all of them valid. */
+  boolean deliveredValidLines() {
+    return deliveredValidLines;
   }
 
-  /** Whether it has delivered something that could not be parsed. */
+  /** Whether it ended because it delivered data that could not be parsed. */
   boolean isUnreadable() {
     return isUnreadable;
   }
@@ -176,13 +185,13 @@
     }
     if (!hasReceivedBytes) {
       hasReceivedBytes = true;
-      restartSilenceTimer(firstLineTimeout); // a long list may take a while to be complete
+      restartSilenceTimer(firstLineTimeout); // receiving a long list may take a while
     }
     try {
       readLines();
     } catch (MalformedMessageException e) {
-      if (!decoder.isOpen()) { // rejected by its status: that is no event
-        wasUseful = false;
+      if (!decoder.isOpen()) { // a response with an error status is not an invalid event
+        deliveredValidLines = false;
         fail(e.getMessage(), false);
         return;
       }
@@ -192,8 +201,10 @@
 
   private void readLines() throws MalformedMessageException {
     for (String line = decoder.next(); line != null && !isClosed(); line = decoder.next()) {
-      wasUseful = true;
-      restartSilenceTimer(SILENCE_TIMEOUT); // bytes alone don't count: half a line may drip forever
+      deliveredValidLines = true;
+      // Only a complete line restarts the timer: a partial line could be received slowly without
+      // end.
+      restartSilenceTimer(SILENCE_TIMEOUT);
       if (!line.isEmpty()) {
         lineListener.accept(line);
       }
@@ -212,19 +223,19 @@
   }
 
   /**
-   * Ends the watch because what it delivers cannot be parsed. It counts as one that has delivered
-   * nothing, so that the pause before the next call to the source grows.
+   * Ends the watch because it delivered data that cannot be parsed. It counts as a watch without
+   * valid lines, so that the pause before the next call to the source grows.
    */
   void failUnreadable(String reason) {
     isUnreadable = true;
-    wasUseful = false;
+    deliveredValidLines = false;
     fail(reason, false);
   }
 
   private void fail(String reason, boolean isSilent) {
     if (!isClosed()) {
       close();
-      failureListener.watchFailed(reason, isSilent, wasUseful);
+      failureListener.watchFailed(reason, isSilent, deliveredValidLines);
     }
   }
 
--- a/proxy/src/main/java/wheattrack/net/discovery/package-info.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/package-info.java
@@ -1,5 +1,5 @@
 /**
  * The endpoint list: the watch on the discovery service, the parser of its events, and the table of
- * backends that they change. May depend on {@code backend}.
+ * backends that the events update. May depend on {@code backend}.
  */
 package wheattrack.net.discovery;
--- a/proxy/src/main/java/wheattrack/net/settings/JitteredBackoff.java
+++ b/proxy/src/main/java/wheattrack/net/settings/JitteredBackoff.java
@@ -3,8 +3,9 @@
 import wheattrack.statistics.SeededRandom;
 
 /**
- * A pause between calls that doubles while they fail, within bounds; each delay is drawn between
- * half of the pause and all of it. Not thread-safe. Times are tenths of a millisecond.
+ * A pause between calls that doubles with each failed call, within bounds. Each delay is drawn at
+ * random between half the pause and the full pause. Not thread-safe. Times are tenths of a
+ * millisecond.
  */
 final class JitteredBackoff {
   private final long shortest;
@@ -12,24 +13,32 @@
   private final SeededRandom random;
   private long pause;
 
-  /** A backoff without a failure so far. */
+  /**
+   * Creates a backoff for a first call.
+   *
+   * @param shortest lower bound of the pause
+   * @param longest upper bound of the pause
+   * @param seed seed of the random numbers
+   */
   JitteredBackoff(long shortest, long longest, long seed) {
     this.shortest = shortest;
     this.longest = longest;
     random = new SeededRandom(seed);
   }
 
-  /** A call succeeded: the next failure begins at the shortest pause. */
+  /**
+   * Sets the pause to 0, after a call that succeeded; the next increase sets the shortest pause.
+   */
   void reset() {
     pause = 0;
   }
 
-  /** A call failed after it had been useful: the pause is the shortest one. */
-  void restart() {
+  /** Sets the shortest pause, after a call that failed but had delivered valid data before. */
+  void useShortestPause() {
     pause = shortest;
   }
 
-  /** A call failed: the pause doubles, within the bounds. */
+  /** Doubles the pause, within the bounds, after a call that failed. */
   void increase() {
     pause = Math.min(longest, Math.max(shortest, 2 * pause));
   }
--- a/proxy/src/main/java/wheattrack/net/settings/SettingsApplier.java
+++ b/proxy/src/main/java/wheattrack/net/settings/SettingsApplier.java
@@ -14,10 +14,10 @@
 import wheattrack.net.discovery.WatchConnection;
 
 /**
- * Applies settings, of the configuration file or of a watched source, to the policy, and keeps the
- * part that the proxy itself looks up: the request classes by name and how to probe. Times are
- * tenths of a millisecond. Runs on the event loop's thread only, but for the creation of the policy
- * before the loop runs.
+ * Applies the settings of the configuration file or of a watched source to the policy, and stores
+ * the part that the proxy itself uses: the request classes by name and how to probe backends. Times
+ * are tenths of a millisecond. Runs on the event loop's thread only, except that the policy is
+ * created before the loop runs.
  */
 public final class SettingsApplier {
   private final EndpointDiscovery endpoints;
@@ -34,13 +34,13 @@
   }
 
   /**
-   * Creates the policy under the configuration file's settings and starts it; called once.
+   * Creates the policy with the configuration file's settings and starts it; called once.
    *
-   * @param seed of the policy's random numbers
+   * @param seed seed of the policy's random numbers
    */
   public LoadBalancer createLoadBalancer(Settings settings, PolicyRuntime runtime, long seed) {
     RequestClass[] requestClasses = PolicySettingsMapper.requestClasses(settings);
-    nameClasses(settings, requestClasses);
+    registerClasses(settings, requestClasses);
     loadBalancer =
         LoadBalancerFactory.create(
             settings, runtime, seed, requestClasses, true, WatchConnection.MAX_POLL_INTERVAL);
@@ -48,12 +48,12 @@
   }
 
   /**
-   * Applies new settings, all in one step; open requests keep the class that they were accepted
-   * with.
+   * Applies new settings, all in one step; open requests keep the settings of the class that they
+   * were accepted with.
    *
-   * @param settings the configuration file's
-   * @param dynamicSettings the watched source's, whose classes, tenants and limits take precedence;
-   *     null or empty: there are none
+   * @param settings the configuration file's settings
+   * @param dynamicSettings the watched source's settings, whose classes, tenants and limits take
+   *     precedence; null or empty if there are none
    */
   public void apply(Settings settings, DynamicSettings dynamicSettings) {
     if (dynamicSettings != null && dynamicSettings.isPresent()) {
@@ -77,13 +77,13 @@
     RequestClass[] requestClasses = PolicySettingsMapper.requestClasses(settings);
     loadBalancer.configure(
         PolicySettingsMapper.policySettings(settings, endpoints.zones()), requestClasses);
-    nameClasses(settings, requestClasses);
+    registerClasses(settings, requestClasses);
   }
 
-  private void nameClasses(Settings settings, RequestClass[] requestClasses) {
+  private void registerClasses(Settings settings, RequestClass[] requestClasses) {
     classes = PolicySettingsMapper.classesByName(settings, requestClasses);
     PolicySettingsMapper.classNames(settings)
-        .forEach(counters::declare); // in their order, which the metrics keep
+        .forEach(counters::declare); // metrics list the classes in the order of declaration
     readProbing(settings);
   }
 
@@ -92,7 +92,7 @@
     probeTimeout = BackendTimeouts.of(settings).connect();
   }
 
-  /** The request classes by name, as they are now. */
+  /** The request classes in force, by name. */
   public Map<String, RequestClass> classes() {
     return classes;
   }
@@ -102,7 +102,7 @@
     return expectsLoadReports;
   }
 
-  /** How long a probe may take: as long as connecting to a backend. */
+  /** Timeout of a probe, which is the one for connecting to a backend. */
   public long probeTimeout() {
     return probeTimeout;
   }
--- a/proxy/src/main/java/wheattrack/net/settings/SettingsSubscription.java
+++ b/proxy/src/main/java/wheattrack/net/settings/SettingsSubscription.java
@@ -16,22 +16,23 @@
 import wheattrack.net.discovery.WatchConnection;
 
 /**
- * The subscription to a source of settings: keeps one watch open, feeds its events to the dynamic
- * settings, and asks for a complete snapshot where an event does not follow the revision in force.
- * An event that is invalid becomes one log line that names the key and the revision; the settings
- * in force stay. Runs on the event loop's thread only.
+ * The subscription to a source of settings: keeps one watch open, applies its events to the dynamic
+ * settings, and requests a complete snapshot where an event does not follow the revision in force.
+ * An invalid event changes no settings and is logged in one line with the key and the revision.
+ * Runs on the event loop's thread only.
  */
 public final class SettingsSubscription {
-  /** The resource at the source. */
+  /** The path of the resource at the source. */
   static final String PATH = "/v1/settings";
 
-  /**
-   * Bounds of the pause between two calls, in tenths of a millisecond. A change has to be in force
-   * 8 s after its source can be reached again: a silent call takes 3 s, which leaves 3 s for the
-   * complete snapshot.
-   */
+  /** Lower bound of the pause between two calls after failures, in tenths of a millisecond. */
   private static final long SHORTEST_PAUSE = 2_500;
 
+  /**
+   * Upper bound of the pause between two calls, in tenths of a millisecond. A change has to be in
+   * force 8 s after its source can be reached again: a silent call takes 3 s and this pause 2 s,
+   * which leaves 3 s for the complete snapshot.
+   */
   private static final long LONGEST_PAUSE = 20_000;
 
   private final EventLoop loop;
@@ -47,13 +48,13 @@
   private boolean needsSnapshot;
 
   /**
-   * A subscription that is not open yet.
+   * Creates a subscription that is not open yet.
    *
-   * @param scope the scope asked for; empty: none
-   * @param seed of the random part of the pauses
-   * @param dynamicSettings where the events are applied
-   * @param changeListener called, in the same step, each time that other settings have come into
-   *     force
+   * @param scope the requested scope; empty: none
+   * @param seed seed of the random part of the pauses
+   * @param dynamicSettings the settings to which events are applied
+   * @param changeListener called each time an event was applied, before any other work of the event
+   *     loop
    */
   public SettingsSubscription(
       EventLoop loop,
@@ -74,7 +75,7 @@
     backoff = new JitteredBackoff(SHORTEST_PAUSE, LONGEST_PAUSE, seed);
   }
 
-  /** Opens the watch, at first or after a pause. */
+  /** Opens the watch, for the first time or after a pause. */
   public void watch() {
     reopenTimer = null;
     try {
@@ -85,16 +86,16 @@
               group,
               new WatchConnection.Target(source, PATH, afterRevision, scope),
               WatchConnection.SILENCE_TIMEOUT,
-              this::received,
-              this::failed);
+              this::onLine,
+              this::onWatchFailed);
     } catch (IOException e) {
-      failed(e.toString(), false, false);
+      onWatchFailed(e.toString(), false, false);
     }
   }
 
   /**
-   * Watches another source or scope from now on. A complete snapshot of it is asked for; until it
-   * arrives, the settings in force stay.
+   * Watches another source or scope from now on. A complete snapshot of it is requested; until it
+   * is received, the settings in force stay.
    */
   public void changeSource(InetSocketAddress newSource, String newScope) {
     if (!newSource.equals(source) || !newScope.equals(scope)) {
@@ -105,14 +106,14 @@
     }
   }
 
-  private void failed(String reason, boolean isSilent, boolean wasUseful) {
+  private void onWatchFailed(String reason, boolean isSilent, boolean deliveredValidLines) {
     EventLog.info("watch on settings", null, source + ": " + reason);
-    if (wasUseful) {
-      backoff.restart();
+    if (deliveredValidLines) {
+      backoff.useShortestPause();
     } else {
       backoff.increase();
     }
-    reopenAfter(isSilent ? 0 : backoff.nextDelay()); // a silent watch has lasted long enough
+    reopenAfter(isSilent ? 0 : backoff.nextDelay()); // a silent watch's timeout was the pause
   }
 
   private void reopenAfter(long delay) {
@@ -123,13 +124,13 @@
     reopenTimer = loop.schedule(delay, this::watch);
   }
 
-  private void received(String line) {
+  private void onLine(String line) {
     long revision = -1;
     try {
       JsonObjectReader event = new JsonObjectReader(Json.object(line));
       revision = event.wholeNumber("rev", -1);
-      boolean isGap = needsSnapshot && !event.flag("all");
-      if (isGap || dynamicSettings.apply(event) == Verdict.SNAPSHOT_REQUIRED) {
+      boolean lacksSnapshot = needsSnapshot && !event.flag("all");
+      if (lacksSnapshot || dynamicSettings.apply(event) == Verdict.SNAPSHOT_REQUIRED) {
         requestSnapshot(revision);
         return;
       }
@@ -142,7 +143,7 @@
       EventLog.warning(
           "settings kept as they were",
           null,
-          "revision " + revision + " of " + source + ": " + WatchConnection.firstLine(e));
+          "revision " + revision + " of " + source + ": " + WatchConnection.firstLineOfMessage(e));
     }
   }
 
@@ -156,13 +157,13 @@
             + source
             + " does not follow "
             + dynamicSettings.revision()
-            + ": the whole is asked for");
+            + ", requesting a complete snapshot");
     needsSnapshot = true;
     backoff.increase();
     reopenAfter(backoff.nextDelay());
   }
 
-  /** Ends the subscription. */
+  /** Ends the subscription and closes its watch. */
   public void close() {
     loop.cancel(reopenTimer);
     if (watch != null) {
--- a/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
+++ b/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
@@ -14,7 +14,7 @@
 import wheattrack.net.discovery.EndpointListParser.Listed;
 import wheattrack.net.discovery.EndpointListParser.State;
 
-/** Events of the endpoint list, and their entries, in discovery's form. */
+/** Checks the parsing of discovery's events and of their entries. */
 class EndpointListParserTest {
   private final EndpointListParser parser =
       new EndpointListParser(List.of("a", "b"), List.of("m", "n"));
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void defaultsOfMissingFields() throws IOException {
+  void missingFieldsHaveDefaults() throws IOException {
     assertEquals(
         new Listed(
             "s",
@@ -64,20 +64,26 @@
   }
 
   @Test
-  void faultsNameTheKey() throws IOException {
+  void errorsNameTheKey() throws IOException {
     String[][] cases = {
       {"{'state':'SERVING'}", "uid: missing"},
       {"{'uid':6,'state':'SERVING'}", "uid: not a text"},
       {"{'uid':'s'}", "state: missing"},
-      {"{'uid':'s','state':'ASLEEP'}", "state: unknown: ASLEEP"},
-      {"{'uid':'s','state':'serving'}", "state: unknown: serving"},
+      {
+        "{'uid':'s','state':'ASLEEP'}",
+        "state: expected SERVING, DRAINING or DELETED, got ASLEEP for uid s"
+      },
+      {
+        "{'uid':'s','state':'serving'}",
+        "state: expected SERVING, DRAINING or DELETED, got serving for uid s"
+      },
       {"{'uid':'s','state':'SERVING'}", "endpoint: missing"},
     };
     for (String[] testCase : cases) {
       JsonObjectReader entry = json(testCase[0]);
-      Exception fault =
+      Exception error =
           assertThrows(InvalidConfigurationException.class, () -> parser.entry(entry));
-      assertEquals(testCase[1], fault.getMessage());
+      assertEquals(testCase[1], error.getMessage());
     }
   }
 
--- a/proxy/src/test/java/wheattrack/net/settings/JitteredBackoffTest.java
+++ b/proxy/src/test/java/wheattrack/net/settings/JitteredBackoffTest.java
@@ -5,7 +5,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The pause between calls that fail. */
+/** Checks the bounds of the delays between calls that fail. */
 class JitteredBackoffTest {
   private static final long SHORTEST = 2_500;
   private static final long LONGEST = 20_000;
@@ -31,14 +31,14 @@
   void restartsAtTheShortestPause() {
     backoff.increase();
     backoff.increase();
-    backoff.restart();
+    backoff.useShortestPause();
     assertDelayWithin(SHORTEST);
     backoff.increase();
     assertDelayWithin(2 * SHORTEST);
   }
 
   @Test
-  void resetBeginsAnew() {
+  void resetSetsNoPause() {
     backoff.increase();
     backoff.increase();
     backoff.reset();
