--- a/proxy/src/main/java/wheattrack/net/protocol/InvalidRequestException.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/InvalidRequestException.java
@@ -1,6 +1,9 @@
 package wheattrack.net.protocol;
 
-/** A request that cannot be accepted; its message is the text of the answer to the client. */
+/**
+ * Thrown for a request that cannot be accepted; its message is the text of the answer to the
+ * client.
+ */
 public final class InvalidRequestException extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/proxy/src/main/java/wheattrack/net/protocol/ParsedRequest.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/ParsedRequest.java
@@ -4,15 +4,15 @@
 import wheattrack.http.Request;
 
 /**
- * What a client's request asks for, read from its headers. Times are tenths of a millisecond.
+ * A client's request with the values of its headers. Times are tenths of a millisecond.
  *
  * @param id the client's identifier of the request
  * @param message the request as it was received
- * @param className the name of its class, under which it is counted
+ * @param className the name of its class, under which metrics count it
  * @param requestClass the settings of its class as they were when it was received
- * @param timeout how long its client waits for the answer
+ * @param timeout how long its client waits for the answer, at most the timeout of its class
  * @param costHint the cost that its client expects; 0: no hint
- * @param clientRetry whether its client says that it is a retry
+ * @param clientRetry whether its client marked it as a retry
  */
 public record ParsedRequest(
     String id,
--- a/proxy/src/main/java/wheattrack/net/protocol/ProtocolMapping.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/ProtocolMapping.java
@@ -16,8 +16,8 @@
 
 /**
  * Maps the operators' protocol (paths, headers, statuses) to the proxy's own types and back.
- * Stateless and safe for use by any thread. Times are tenths of a millisecond, on the wire decimal
- * seconds.
+ * Stateless and safe for use by any thread. Times are tenths of a millisecond (ticks), and decimal
+ * seconds on the wire.
  */
 public final class ProtocolMapping {
   /** Path of the readiness check. */
@@ -35,7 +35,7 @@
   private static final String CONTENT_LENGTH = "Content-Length";
   private static final String RETRY_AFTER = "Retry-After";
 
-  /** Headers that concern one connection only, or that are written anew; in lower case. */
+  /** Names, in lower case, of headers that concern one connection only or are set by the proxy. */
   private static final Set<String> HOP_BY_HOP_HEADERS =
       Set.of(
           "connection",
@@ -54,18 +54,21 @@
   private static final Pattern NON_NEGATIVE_DECIMAL = Pattern.compile("[0-9]+(\\.[0-9]*)?");
   private static final Pattern END_OF_FIRST_SEGMENT = Pattern.compile("[/?]");
 
-  /** Bounds a cost hint, in microseconds. */
+  /** Greater cost hints are reduced to this; in microseconds. */
   private static final long MAX_HINT = (long) Integer.MAX_VALUE * TimeConversion.MICROS_PER_TICK;
 
-  /** Bounds a number in a header, in characters: its digits and a point. */
+  /** Maximum length of a number in a header, in characters, with the decimal point. */
   private static final int MAX_NUMBER_LENGTH = 20;
 
-  private static final long UNITS_PER_SECOND = 10_000;
+  private static final long TICKS_PER_SECOND = 10_000;
+
+  /** Decimal places of a time in seconds with the resolution of a tick. */
+  private static final int DECIMAL_PLACES_OF_TICK = 4;
 
   private ProtocolMapping() {}
 
   /**
-   * Reads what a client's request asks for.
+   * Parses the headers of a client's request.
    *
    * @param classes the request classes by name
    * @throws InvalidRequestException if a header is missing or malformed, or the class is unknown
@@ -84,13 +87,13 @@
           StatusCode.NOT_FOUND, "unknown " + REQUEST_CLASS + " " + className);
     }
     long clientTimeout = requestClass.clientTimeout();
-    long timeout = number(headers, REQUEST_TIMEOUT, UNITS_PER_SECOND, clientTimeout, clientTimeout);
+    long timeout = number(headers, REQUEST_TIMEOUT, TICKS_PER_SECOND, clientTimeout, clientTimeout);
     int costHint = TimeConversion.costOfHint(number(headers, WORK_HINT, 1, MAX_HINT, 0));
     boolean clientRetry = "1".equals(headers.first(CLIENT_RETRY));
     return new ParsedRequest(id, request, className, requestClass, timeout, costHint, clientRetry);
   }
 
-  /** The name of the class that the request names in its header, else by its path. */
+  /** The name of the request's class: from its header, or else the first segment of its path. */
   public static String className(Request request) {
     String name = request.headers().first(REQUEST_CLASS);
     if (name != null) {
@@ -99,7 +102,7 @@
     return END_OF_FIRST_SEGMENT.split(request.target().substring(1), 2)[0];
   }
 
-  /** The number in a header times a factor, at most the maximum; the default if it is absent. */
+  /** The number in a header times a factor, at most the maximum; the default if there is none. */
   private static long number(
       Headers headers, String name, long factor, long maximum, long defaultValue)
       throws InvalidRequestException {
@@ -131,23 +134,23 @@
         true);
   }
 
-  /** All headers but those that concern one connection only or are written anew. */
+  /** The headers without those that concern one connection only or are set by the proxy. */
   private static Headers endToEndHeaders(Headers received) {
-    Headers kept = new Headers();
+    Headers forwarded = new Headers();
     for (int i = 0; i < received.size(); i++) {
       String name = received.name(i);
       if (!HOP_BY_HOP_HEADERS.contains(name.toLowerCase(Locale.ROOT))
           && !received.containsToken("Connection", name)) {
-        kept.with(name, received.value(i));
+        forwarded.with(name, received.value(i));
       }
     }
-    return kept;
+    return forwarded;
   }
 
   /**
-   * The request of a probe.
+   * The request that probes a backend.
    *
-   * @param asksForLoad whether it asks the backend for its load, else only whether it is healthy
+   * @param asksForLoad whether it requests the backend's load; otherwise it only checks its health
    */
   public static Request probeRequest(boolean asksForLoad) {
     String path = asksForLoad ? LOAD_PATH : HEALTH_PATH;
@@ -155,7 +158,7 @@
     return new Request("GET", path, headers, true, EMPTY_BODY);
   }
 
-  /** How an attempt ended, by the complete answer that it received. */
+  /** The outcome of an attempt that received this complete answer. */
   public static AttemptOutcome attemptOutcome(Response answer) {
     if (answer.status() == StatusCode.OK) {
       return AttemptOutcome.DONE;
@@ -170,10 +173,10 @@
   }
 
   /**
-   * Whether a backend says that the request itself is at fault, so that no other backend could
-   * serve it either.
+   * Whether a backend's answer has a status for a client error, so that no other backend could
+   * serve the request either.
    *
-   * @param answer the answer; null: none came
+   * @param answer the answer; null: none was received
    */
   public static boolean isClientError(Response answer) {
     return answer != null && StatusCode.isClientError(answer.status());
@@ -182,9 +185,9 @@
   /**
    * A backend's answer as the client receives it.
    *
-   * @param keepAlive whether the client's connection may stay open after it
-   * @param clientTakesChunks whether an answer of unknown length may be sent in chunks; else it
-   *     ends with the connection
+   * @param keepAlive whether the client's connection may stay open after the answer
+   * @param clientTakesChunks whether an answer of unknown length may be sent in chunks; otherwise
+   *     its end is marked by closing the connection
    */
   public static Response forwardedAnswer(
       Response answer, boolean keepAlive, boolean clientTakesChunks) {
@@ -206,7 +209,7 @@
   /**
    * The answer to a rejected request.
    *
-   * @param retryAfter advice to the client how long to wait; 0 gives none
+   * @param retryAfter how long the client should wait before a retry; 0: no advice is sent
    */
   public static Response rejection(long retryAfter, boolean keepAlive) {
     Headers headers = new Headers();
@@ -216,12 +219,12 @@
     return new Response(StatusCode.SERVICE_UNAVAILABLE, headers, keepAlive, EMPTY_BODY);
   }
 
-  /** An answer of the proxy's own with a line of text. */
+  /** An answer from the proxy itself, with a line of text. */
   public static Response textAnswer(int status, String text, boolean keepAlive) {
     return Response.text(status, text, keepAlive);
   }
 
   private static String seconds(long time) {
-    return BigDecimal.valueOf(Math.max(0, time), 4).toPlainString();
+    return BigDecimal.valueOf(Math.max(0, time), DECIMAL_PLACES_OF_TICK).toPlainString();
   }
 }
--- a/proxy/src/test/java/wheattrack/net/protocol/ProtocolMappingTest.java
+++ b/proxy/src/test/java/wheattrack/net/protocol/ProtocolMappingTest.java
@@ -10,11 +10,11 @@
 import wheattrack.http.Headers;
 import wheattrack.http.Request;
 
-/** Checks what {@link ProtocolMapping} reads from a client's headers. */
+/** Checks how {@link ProtocolMapping} parses a client's headers. */
 class ProtocolMappingTest {
   /**
-   * Timeouts and cost hints of clients, in tenths of a millisecond. A number too large once
-   * overflowed into another one.
+   * Checks timeouts and cost hints, in tenths of a millisecond. A number too large for a long must
+   * be reduced to the maximum, not overflow into another number.
    */
   @Test
   void timeoutsAndCostHintsAreCheckedAndBounded() {
