--- a/proxy/src/test/java/wheattrack/net/AdminServerTest.java
+++ b/proxy/src/test/java/wheattrack/net/AdminServerTest.java
@@ -20,22 +20,24 @@
 import wheattrack.core.ClientConnectionCounters;
 import wheattrack.core.RequestCounters;
 
-/** The admin address: each answer, the metrics against what clients saw, and idle callers. */
+/** The admin address: its answers, its metrics, and connections that stay idle. */
 class AdminServerTest extends ProxyTestHarness {
-  /** The answer to this request at the admin address, within a second. */
+  private static final int ADMIN_TIMEOUT_MILLIS = 1000;
+
+  /** Sends a request to the admin address, and returns its answer. */
   private String callAdmin(String text) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", server.adminPort())) {
-      socket.setSoTimeout(1000);
+      socket.setSoTimeout(ADMIN_TIMEOUT_MILLIS);
       return call(socket, text);
     }
   }
 
-  private String callAdminForMetrics() throws IOException {
+  private String requestMetrics() throws IOException {
     return callAdmin("GET /status/metrics HTTP/1.1\r\n\r\n");
   }
 
   @Test
-  void eachCallIsAnswered() throws Exception {
+  void eachAdminRequestIsAnswered() throws Exception {
     startProxyWithAdmin(1);
     for (String request :
         new String[] {
@@ -54,9 +56,9 @@
     recorder.assertMatches("admin-calls");
   }
 
-  /** Each final answer is counted once, under its class; attempts are those written completely. */
+  /** Each final answer is counted once, under its class; completely sent attempts are counted. */
   @Test
-  void metricsMatchWhatClientsSaw() throws Exception {
+  void metricsMatchTheAnswersOfClients() throws Exception {
     startProxyWithAdmin(4);
     for (List<BackendAction> actions :
         List.of(
@@ -76,20 +78,20 @@
     try (Socket socket = connect()) {
       send(socket, request("buy"));
       Thread.sleep(100);
-      recorder.recordLine("one out: " + callAdminForMetrics().replace("\n", ", "));
+      recorder.recordLine("one out: " + requestMetrics().replace("\n", ", "));
       readAnswer(socket);
     }
-    String finalMetrics = callAdminForMetrics();
+    String finalMetrics = requestMetrics();
     recorder.recordLine("none out: " + finalMetrics.replace("\n", ", "));
     assertTrue(
         finalMetrics.contains("proxy.attempts:" + requestsReceived.get() + "|c"),
-        requestsReceived.get() + " against " + finalMetrics);
+        "expected " + requestsReceived.get() + " attempts, got " + finalMetrics);
     recorder.assertMatches("admin-figures");
   }
 
-  /** Idle admin connections, more than there are places, delay no answer. */
+  /** Idle admin connections, three times as many as are allowed, delay no answer. */
   @Test
-  void idleConnectionsDelayNobody() throws Exception {
+  void idleConnectionsDelayNoAnswer() throws Exception {
     startProxyWithAdmin(1);
     List<Socket> idleSockets = new ArrayList<>();
     for (int i = 0; i < 3 * AdminServer.MAX_CONNECTIONS; i++) {
@@ -103,6 +105,7 @@
     }
   }
 
+  /** At most 256 classes have counters of their own; all others are counted as "further". */
   @Test
   void classNamesAreEscapedAndBounded() {
     RequestCounters counters = new RequestCounters();
@@ -116,7 +119,7 @@
             .text();
     assertEquals("proxy.served.a_b_c_d_:1|c", text.split("\n")[0]);
     assertTrue(
-        counters.answersByClass().size() <= 257, "names kept: " + counters.answersByClass().size());
+        counters.answersByClass().size() <= 257, "classes with counters: " + counters.answersByClass().size());
     assertTrue(text.contains("proxy.refused.further:745|c"), text.substring(text.length() - 400));
   }
 
--- a/proxy/src/test/java/wheattrack/net/BackendAction.java
+++ b/proxy/src/test/java/wheattrack/net/BackendAction.java
@@ -4,7 +4,7 @@
 enum BackendAction {
   /** 200 with the backend's name as body. */
   OK("ok"),
-  /** The same with a chunked body. */
+  /** 200 with the backend's name as a chunked body. */
   OK_CHUNKED("chunks"),
   /** 200 with the head of the request as body. */
   ECHO("echo"),
@@ -15,17 +15,17 @@
   STATUS_404("404"),
   STATUS_500("500"),
   STATUS_503("503"),
-  /** 503 with the header for a request that was not started. */
+  /** 503 with the header Not-Started, which says that the request has not run. */
   NOT_STARTED_503("full"),
-  /** 504 with the header for a request that was not started. */
+  /** 504 with the header Not-Started, which says that the request has not run. */
   NOT_STARTED_504("late"),
   /** No answer; the connection stays open. */
   NO_ANSWER("none"),
   /** No answer; the connection is closed. */
   CLOSE("cut", true),
-  /** The connection is closed within the body. */
+  /** 200 with a body that is shorter than its Content-Length; the connection is closed. */
   TRUNCATED_BODY("half", true),
-  /** A body without a length, which ends with the connection. */
+  /** 200 with a body without a length, which ends when the connection is closed. */
   BODY_WITHOUT_LENGTH("unmeasured", true),
   /** Bytes that are not HTTP; the connection is closed. */
   NOT_HTTP("garbage", true);
@@ -42,7 +42,7 @@
     this.closesConnection = closesConnection;
   }
 
-  /** Whether the backend closes the connection afterwards. */
+  /** Whether the backend closes the connection after this action. */
   boolean closesConnection() {
     return closesConnection;
   }
--- a/proxy/src/test/java/wheattrack/net/ClientDisconnectTest.java
+++ b/proxy/src/test/java/wheattrack/net/ClientDisconnectTest.java
@@ -24,12 +24,12 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client that disconnects while its request waits: that is seen while the wait still lasts, and
- * nothing is forwarded once the wait is over. Bytes behind a request, or a long body that was not
- * read, once hid the disconnect.
+ * A client disconnects while its request waits: the proxy detects that during the wait, and does not
+ * forward the request afterwards. Guards against a disconnect that stays undetected because the
+ * proxy stops reading: bytes after the request, or the unread rest of a long body, come before it.
  */
 class ClientDisconnectTest extends ManualBackendHarness {
-  /** What the request waits for when its client disconnects. */
+  /** What the request is waiting for when its client disconnects. */
   enum Wait {
     CONNECTION_OPENS,
     CONNECTION_IS_FREED,
@@ -38,7 +38,7 @@
     BODY
   }
 
-  /** What the client has sent behind its request's head or small body when it disconnects. */
+  /** What the client has sent after its request's head or small body when it disconnects. */
   enum ExtraBytes {
     NONE,
     SECOND_REQUEST,
@@ -49,21 +49,26 @@
 
   private static final int FLOOD_BYTES = 300_000;
 
-  /** More than is kept of a body, in bytes. */
+  /** A body that is too long to be kept for a retry, in bytes. */
   private static final int LONG_BODY_BYTES = 200_000;
 
-  /** More of a body than is read ahead, in bytes. */
+  /** A body that is too long to be read ahead completely, in bytes. */
   private static final int HUGE_BODY_BYTES = 1_700_000;
 
-  /** This time after a client has disconnected no attempt begins any more. */
+  /** How long after a disconnect attempts may still begin. */
   private static final int GRACE_MILLIS = 100;
 
   /** More than five sixths of the response target, after which a request is hedged. */
   private static final int HEDGE_DELAY_MILLIS = 1200;
 
-  /** The kernel retransmits the SYN of a connection that was not accepted within this time. */
+  /** The kernel retransmits the SYN of a connection that was not accepted within this time (1 s). */
   private static final int SYN_RETRY_MILLIS = 1500;
 
+  private static final int BURST_CLIENTS = 250;
+
+  /** One of this many clients of the burst stays connected. */
+  private static final int STAYING_CLIENT_INTERVAL = 5;
+
   private ServerSocket listener;
   private Socket heldSocket;
 
@@ -85,13 +90,13 @@
 
   @ParameterizedTest(name = "{0}, with {1}, reset {2}")
   @MethodSource("waitsAndExtraBytes")
-  void disconnectDuringAWaitIsSeen(Wait wait, ExtraBytes extraBytes, boolean isReset)
+  void disconnectDuringAWaitIsDetected(Wait wait, ExtraBytes extraBytes, boolean isReset)
       throws Exception {
-    listener = listenByHand(1);
+    listener = listenWithoutAccepting(1);
     startProxy(
         configWithLongTimes(
             wait == Wait.LOAD_PROBE ? AttemptKind.AFTER_LOAD_PROBE : AttemptKind.FIRST),
-        ""); // load probes are waited for a thirtieth of the response target
+        ""); // a load probe may take a thirtieth of the response target
     Socket otherClient = wait == Wait.CONNECTION_IS_FREED ? holdOtherRequest() : null;
     if (wait == Wait.CONNECTION_OPENS || wait == Wait.CONNECTION_IS_FREED) {
       fillAcceptQueue(listener);
@@ -103,18 +108,18 @@
       await("in flight", () -> metric("in_flight") == (otherClient == null ? 1 : 2));
     }
     holdRequest(wait, extraBytes);
-    leave(client, isReset ? Departure.RST : Departure.FIN);
-    await("the disconnect is seen", () -> metric("in_flight") == (otherClient == null ? 0 : 1));
+    disconnect(client, isReset ? Disconnection.RST : Disconnection.FIN);
+    await("the disconnect is detected", () -> metric("in_flight") == (otherClient == null ? 0 : 1));
     endWait(wait);
     if (otherClient != null) {
       assertEquals("200 first", readAnswer(otherClient));
       otherClient.close();
     }
-    callUntilAnswered(); // the backend is ejected as silent for a while
+    callUntilAnswered(); // the backend is ejected for a while because it did not answer
     assertNotReceived(text);
   }
 
-  /** Another client's request, which nothing cancels, is held at the backend. */
+  /** Holds the request of another client, which stays connected, at the backend. */
   private Socket holdOtherRequest() throws IOException {
     Socket otherClient = connect();
     heldSocket = sendAndAccept(otherClient, request("pay"), listener);
@@ -139,17 +144,17 @@
     client.getOutputStream().write(extra);
   }
 
-  /** The head of this request, with a longer body announced. */
+  /** The head of this request with a longer Content-Length, without a body. */
   private static String withLongBody(String request, int length) {
     return request.replace("Content-Length: 2\r\n\r\nhi", "Content-Length: " + length + "\r\n\r\n");
   }
 
-  /** Holds at the backend what the wait needs until the client has left. */
+  /** Prepares the backends so that the request waits until {@link #endWait}. */
   private void holdRequest(Wait wait, ExtraBytes extraBytes) throws Exception {
     if (wait == Wait.BETWEEN_ATTEMPTS) {
       heldSocket = accept(listener);
       if (extraBytes != ExtraBytes.PART_OF_BODY && extraBytes != ExtraBytes.COMPLETE_BODY) {
-        readRequest(heldSocket); // else its body is not complete yet
+        readRequest(heldSocket); // otherwise its body is incomplete
       }
       ServerSocket second = addSecondBackend(true);
       rejectAsNotStarted(heldSocket);
@@ -171,7 +176,7 @@
     }
   }
 
-  /** Which attempt of the request waits when its client disconnects, and for what. */
+  /** Which attempt is waiting when the client disconnects, or what the attempt is waiting for. */
   enum AttemptKind {
     FIRST,
     SECOND,
@@ -182,35 +187,35 @@
   }
 
   /**
-   * How the client disconnects. If it stays, the attempt is made, which proves that the test is
-   * able to fail.
+   * How the client disconnects. If it stays connected, the attempt is made: that shows that the test
+   * can fail.
    */
-  enum Departure {
+  enum Disconnection {
     FIN,
     RST,
     HALF_CLOSED,
     STAYS
   }
 
-  static Stream<Arguments> attemptsAndDepartures() {
+  static Stream<Arguments> attemptsAndDisconnections() {
     return Arrays.stream(AttemptKind.values())
         .flatMap(
             attempt ->
-                Arrays.stream(Departure.values())
+                Arrays.stream(Disconnection.values())
                     .filter(
-                        departure ->
+                        disconnection ->
                             attempt.ordinal() < 2
-                                || departure == Departure.FIN
-                                || departure == Departure.STAYS)
-                    .map(departure -> Arguments.of(attempt, departure)));
+                                || disconnection == Disconnection.FIN
+                                || disconnection == Disconnection.STAYS)
+                    .map(disconnection -> Arguments.of(attempt, disconnection)));
   }
 
-  /** The wait ends a tenth of a second after the client has left: no attempt begins then. */
+  /** The wait ends a tenth of a second after the disconnect: no attempt begins any more. */
   @ParameterizedTest(name = "{0}, {1}")
-  @MethodSource("attemptsAndDepartures")
-  void noAttemptBeginsATenthOfASecondAfterTheClientLeft(AttemptKind attempt, Departure departure)
+  @MethodSource("attemptsAndDisconnections")
+  void noAttemptBeginsATenthOfASecondAfterTheDisconnect(AttemptKind attempt, Disconnection disconnection)
       throws Exception {
-    listener = listenByHand(1);
+    listener = listenWithoutAccepting(1);
     startProxy(configWithLongTimes(attempt), "");
     Socket otherClient = attempt == AttemptKind.ON_FREED_CONNECTION ? holdOtherRequest() : null;
     if (attempt == AttemptKind.FIRST || attempt == AttemptKind.ON_FREED_CONNECTION) {
@@ -237,9 +242,9 @@
     if (attempt == AttemptKind.HEDGED) {
       readRequest(heldSocket);
       listener = addSecondBackend(true);
-      Thread.sleep(HEDGE_DELAY_MILLIS); // a hedged request waits there then
+      Thread.sleep(HEDGE_DELAY_MILLIS); // by then the hedged attempt waits for its connection there
     }
-    leave(client, departure);
+    disconnect(client, disconnection);
     Thread.sleep(GRACE_MILLIS);
     answerAll(listener);
     if (attempt == AttemptKind.ON_FREED_CONNECTION) {
@@ -248,7 +253,7 @@
     if (attempt == AttemptKind.ON_FREED_CONNECTION || attempt == AttemptKind.AFTER_LOAD_PROBE) {
       startThread(() -> answerAll(heldSocket));
     }
-    if (departure == Departure.STAYS) {
+    if (disconnection == Disconnection.STAYS) {
       await("forwarded", () -> receivedIds.contains(requestId(text)));
     } else {
       Thread.sleep(SYN_RETRY_MILLIS); // the SYN of a late connection is retransmitted after 1 s
@@ -278,18 +283,18 @@
             "{\"report\":{\"how\":\"probe\",\"fields\":[\"rif\",\"q\"]}," + "\"balancers\"");
   }
 
-  /** Lists a second backend, whose accept queue is full or has room. */
+  /** Adds a second backend to the endpoint list, whose accept queue is full or has space. */
   private ServerSocket addSecondBackend(boolean isQueueFull) throws Exception {
-    ServerSocket second = listenByHand(isQueueFull ? 1 : BACKLOG);
+    ServerSocket second = listenWithoutAccepting(isQueueFull ? 1 : BACKLOG);
     if (isQueueFull) {
       fillAcceptQueue(second);
     }
     endpointList.send(listLine(2, false, endpoint("s1", "SERVING", second.getLocalPort())));
-    await("a second backend is known", () -> metric("backends_known") == 2);
+    await("the second backend is known", () -> metric("backends_known") == 2);
     return second;
   }
 
-  /** Rejects the first attempt, once there is a second backend to retry at. */
+  /** Rejects the first attempt as not started, once a second backend is known for the retry. */
   private ServerSocket rejectFirstAttempt(boolean isQueueFull) throws Exception {
     heldSocket = accept(listener);
     readRequest(heldSocket);
@@ -303,8 +308,8 @@
     writeAnswer(socket, "503", "Not-Started: 1\r\nConnection: close\r\n", "");
   }
 
-  private static void leave(Socket client, Departure departure) throws IOException {
-    switch (departure) {
+  private static void disconnect(Socket client, Disconnection disconnection) throws IOException {
+    switch (disconnection) {
       case FIN -> client.close();
       case RST -> {
         client.setSoLinger(true, 0);
@@ -315,49 +320,52 @@
     }
   }
 
-  /** Two hundred clients leave in one burst and fifty stay: only their requests are forwarded. */
+  /**
+   * Two hundred of 250 clients disconnect at the same time: only requests of the fifty that stay
+   * connected are forwarded.
+   */
   @Test
-  void ofABurstOnlyThoseThatStayedAreForwarded() throws Exception {
-    listener = listenByHand(1);
+  void onlyRequestsOfConnectedClientsAreForwardedAfterABurst() throws Exception {
+    listener = listenWithoutAccepting(1);
     startProxy(configWithLongTimes(AttemptKind.FIRST), "");
     fillAcceptQueue(listener);
-    List<Socket> leavingClients = new ArrayList<>();
-    Set<String> idsGone = new HashSet<>();
-    Set<String> idsStaying = new HashSet<>();
-    for (int i = 0; i < 250; i++) {
+    List<Socket> disconnectingClients = new ArrayList<>();
+    Set<String> disconnectedIds = new HashSet<>();
+    Set<String> stayingIds = new HashSet<>();
+    for (int i = 0; i < BURST_CLIENTS; i++) {
       Socket client = connect();
       String text = request("buy");
       send(client, text);
-      if (i % 5 == 0) {
-        idsStaying.add(requestId(text));
+      if (i % STAYING_CLIENT_INTERVAL == 0) {
+        stayingIds.add(requestId(text));
       } else {
-        leavingClients.add(client);
-        idsGone.add(requestId(text));
+        disconnectingClients.add(client);
+        disconnectedIds.add(requestId(text));
       }
     }
     await("in flight", () -> metric("in_flight") > 0);
-    for (Socket client : leavingClients) {
-      leave(client, leavingClients.indexOf(client) % 2 == 0 ? Departure.FIN : Departure.RST);
+    for (Socket client : disconnectingClients) {
+      disconnect(client, disconnectingClients.indexOf(client) % 2 == 0 ? Disconnection.FIN : Disconnection.RST);
     }
     Thread.sleep(GRACE_MILLIS);
     answerAll(listener);
     await(
-        "one that stayed is forwarded",
-        () -> List.copyOf(receivedIds).stream().anyMatch(idsStaying::contains));
+        "a request of a connected client is forwarded",
+        () -> List.copyOf(receivedIds).stream().anyMatch(stayingIds::contains));
     Thread.sleep(SYN_RETRY_MILLIS);
     assertEquals(
         Set.of(),
-        List.copyOf(receivedIds).stream().filter(idsGone::contains).collect(Collectors.toSet()));
+        List.copyOf(receivedIds).stream().filter(disconnectedIds::contains).collect(Collectors.toSet()));
   }
 
   /**
-   * A body longer than what is read ahead hides the disconnect: it is forwarded, but never
-   * completely.
+   * A disconnect after a body that is too long to be read ahead is detected late: the request may be
+   * forwarded, but its body is never complete.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void longBodyOfAClientThatLeftIsNeverComplete(boolean isLeaving) throws Exception {
-    listener = listenByHand(1);
+  void longBodyOfADisconnectedClientIsNeverForwardedCompletely(boolean isDisconnecting) throws Exception {
+    listener = listenWithoutAccepting(1);
     startProxy(configWithLongTimes(AttemptKind.FIRST), "");
     fillAcceptQueue(listener);
     Socket client = connect();
@@ -365,13 +373,13 @@
     send(client, text);
     Thread writer = startThread(() -> client.getOutputStream().write(new byte[HUGE_BODY_BYTES]));
     await("in flight", () -> metric("in_flight") == 1);
-    if (isLeaving) {
+    if (isDisconnecting) {
       writer.join(TIMEOUT_MILLIS);
       client.close();
     }
     Thread.sleep(GRACE_MILLIS);
     answerAll(listener);
-    if (isLeaving) {
+    if (isDisconnecting) {
       Thread.sleep(SYN_RETRY_MILLIS);
       assertNotReceived(text);
     } else {
--- a/proxy/src/test/java/wheattrack/net/ConcurrentEventsTest.java
+++ b/proxy/src/test/java/wheattrack/net/ConcurrentEventsTest.java
@@ -19,11 +19,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Pairs of concurrent events at connections to a backend or in a reload. */
+/** Pairs of concurrent events on connections to a backend or during a reload. */
 class ConcurrentEventsTest extends OneBackendHarness {
   private Socket heldSocket;
 
-  /** A surplus second answer, some milliseconds late, was taken for the next request's answer. */
+  /**
+   * Guards against a wrong answer: a backend sends a second answer to a request some milliseconds
+   * after the first one, when the next request already uses the same connection.
+   */
   @Test
   void surplusAnswerIsNotTakenForTheNextRequest() throws Exception {
     startProxyWithOneBackend("\"dialTimeout\":250000", "\"dialTimeout\":20000000");
@@ -35,7 +38,7 @@
       send(client, nextRequest);
       await(
           "in flight",
-          () -> metric("in_flight") == 1); // on the first connection, which is reused at once
+          () -> metric("in_flight") == 1); // on the first connection, which is reused immediately
       writeAnswer(first, "200", "", "surplus");
       Socket second = accept(firstListener);
       assertEquals(requestId(nextRequest), readRequest(second));
@@ -45,23 +48,23 @@
     }
   }
 
-  /** A backend closes an idle connection, before or after the next request is assigned to it. */
+  /** A backend closes an idle connection before or after the next request is assigned to it. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void requestSurvivesTheEndOfItsIdleConnection(boolean isEndFirst) throws Exception {
+  void requestIsAnsweredAlthoughItsIdleConnectionCloses(boolean isEndFirst) throws Exception {
     startProxyWithOneBackend();
     try (Socket client = connect()) {
       Socket first = sendAndAccept(client, request("pay"), firstListener);
       writeAnswer(first, "200", "", "one");
       assertEquals("200 one", readAnswer(client));
-      Thread.sleep(50); // the connection becomes idle
+      Thread.sleep(50); // by then the connection is idle
       LoopPause pause = pauseLoopInReload(config);
       String nextRequest = request("pay");
       if (isEndFirst) {
         first.close();
       }
       send(client, nextRequest);
-      Thread.sleep(50); // both can be read then, the request first
+      Thread.sleep(50); // by then the loop can read both, the request first
       first.close();
       Thread.sleep(50);
       pause.release();
@@ -72,11 +75,14 @@
     }
   }
 
-  /** Connections that were idle for longer than the new limit were used for one more request. */
+  /**
+   * Guards against the reuse of a connection that has been idle for longer than the idle timeout of
+   * a reload.
+   */
   @Test
-  void reloadWithShorterIdleTimeClosesIdleConnections() throws Exception {
+  void reloadWithShorterIdleTimeoutClosesIdleConnections() throws Exception {
     startProxyWithOneBackend();
-    call(answeredByHand(request("buy")));
+    call(answeredOnNewConnection(request("buy")));
     Socket first = heldSocket;
     Thread.sleep(100);
     Path file =
@@ -85,12 +91,12 @@
             config.replace("\"idleClose\":30000000", "\"idleClose\":50000"));
     server.reload(file);
     assertEquals("end", readRequest(first));
-    assertEquals("200 played", call(answeredByHand(request("buy"))));
+    assertEquals("200 played", call(answeredOnNewConnection(request("buy"))));
     assertNotEquals(first, heldSocket);
   }
 
-  /** Returns the request, which the backend will answer on the connection kept as heldSocket. */
-  private String answeredByHand(String text) {
+  /** Starts a backend that answers one request on a new {@link #heldSocket}; returns the request. */
+  private String answeredOnNewConnection(String text) {
     startThread(
         () -> {
           heldSocket = accept(firstListener);
@@ -100,22 +106,25 @@
     return text;
   }
 
-  /** A backend moves, or restarts, while one of its connections is busy: it was used further. */
+  /**
+   * Guards against the reuse of a connection to an earlier address or process: a backend moves or
+   * restarts while the connection is busy, so it has to be closed after its answer.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void busyConnectionOfAMovedBackendFinishes(boolean isRestart) throws Exception {
+  void busyConnectionOfAMovedBackendClosesAfterItsAnswer(boolean isRestart) throws Exception {
     startProxyWithOneBackend();
     try (Socket client = connect()) {
       Socket first = sendAndAccept(client, request("buy"), firstListener);
       String endpoint =
           endpoint("s0", "SERVING", (isRestart ? firstListener : secondListener).getLocalPort());
       if (isRestart) {
-        Thread.sleep(5); // the connection is of an earlier millisecond
+        Thread.sleep(5); // so that the connection is older than boot_ms
         endpoint = endpoint.replace("}", ",'boot_ms':" + System.currentTimeMillis() + "}");
       }
       endpointList.send(
           listLine(2, false, endpoint, endpoint("s1", "DRAINING", secondListener.getLocalPort())));
-      await("the list is read", () -> metric("backends_known") == 2);
+      await("the endpoint list is applied", () -> metric("backends_known") == 2);
       writeAnswer(first, "200", "", "old");
       assertEquals("200 old", readAnswer(client));
       assertEquals("end", readRequest(first));
@@ -124,7 +133,7 @@
     }
   }
 
-  /** A backend moves while a connection to it is opened: the request goes to the new address. */
+  /** A backend moves while a connection to it is opened: the request is sent to the new address. */
   @Test
   void waitingRequestFollowsAMovedBackend() throws Exception {
     startProxyWithFullAcceptQueue();
@@ -140,7 +149,7 @@
     }
   }
 
-  /** A backend drains while a connection to it is opened; it may be listed again before that. */
+  /** A backend drains, and may be serving again, before a connection to it is open. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void nothingIsSentToABackendThatDrainsWhileConnecting(boolean isListedAgain) throws Exception {
@@ -163,9 +172,9 @@
     }
   }
 
-  /** Bytes behind an answer, and interim answers without end, are not for the next request. */
+  /** Bytes after an answer, or endless interim answers, are not passed on to the next request. */
   @Test
-  void malformedAnswersReachNoOtherRequest() throws Exception {
+  void malformedAnswersAffectNoOtherRequest() throws Exception {
     startProxyWithOneBackend("\"dialTimeout\":250000", "\"dialTimeout\":20000");
     try (Socket client = connect()) {
       Socket first = sendAndAccept(client, request("buy"), firstListener);
@@ -186,7 +195,7 @@
     }
   }
 
-  /** The event loop is paused past a request's deadline while its connection is opened. */
+  /** The event loop is paused until after a request's deadline, while its connection is opened. */
   @Test
   void nothingIsSentAfterTheDeadline() throws Exception {
     startProxyWithFullAcceptQueue();
@@ -195,7 +204,7 @@
       send(client, text);
       await("in flight", () -> metric("in_flight") == 1);
       LoopPause pause = pauseLoopInReload(config);
-      answerAll(firstListener); // its SYN is retransmitted a second after the first
+      answerAll(firstListener); // the SYN is retransmitted a second after the first one
       Thread.sleep(2000);
       pause.release();
       assertTrue(readAnswer(client).startsWith("50"));
@@ -204,7 +213,7 @@
     }
   }
 
-  /** A client retries after its connection broke: no second attempt runs at the same time. */
+  /** A client retries after a disconnect: no second attempt runs at the same time as the first. */
   @Test
   void sameIdIsRejectedWhileItsFirstAttemptIsInFlight() throws Exception {
     startProxyWithOneBackend("\"mayCancel\":true", "\"mayCancel\":false");
@@ -214,7 +223,7 @@
     Socket first = accept(firstListener);
     assertEquals(requestId(text), readRequest(first));
     client.close();
-    await("the disconnect is seen", () -> metric("in_flight") == 0);
+    await("the disconnect is detected", () -> metric("in_flight") == 0);
     assertEquals("409 a req of this id is open", call(text));
     assertEquals(1, metric("attempts"));
     writeAnswer(first, "200", "", "late");
@@ -223,7 +232,7 @@
   /** A client disconnects while the event loop is paused, before its request is read. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void nothingIsSentForAClientThatLeftUnread(boolean isReset) throws Exception {
+  void requestUnreadBeforeTheDisconnectIsNotForwarded(boolean isReset) throws Exception {
     startProxyWithOneBackend();
     answerAll(firstListener);
     call(request("buy"));
@@ -240,7 +249,10 @@
     assertNotReceived(text);
   }
 
-  /** A client disconnects within its long body: the backend once waited 10 s for the rest. */
+  /**
+   * Guards against a backend that waits 10 s for the rest of a body: the client disconnects within
+   * its long body, so the proxy has to close the connection to the backend.
+   */
   @Test
   void disconnectDuringBodyEndsTheAttempt() throws Exception {
     startProxyWithOneBackend("\"mayCancel\":true", "\"mayCancel\":false");
@@ -257,7 +269,10 @@
     assertEquals(0, metric("attempts"));
   }
 
-  /** Zones are in another order after a reload: the proxy once took another zone for its own. */
+  /**
+   * Guards against a proxy that takes another zone for its own: a reload changes the order of the
+   * zones, and with it the index of its zone.
+   */
   @Test
   void reloadKeepsTheOwnZone() throws Exception {
     startProxyWithOneBackend(
@@ -271,23 +286,23 @@
             false,
             endpoint("s1", "SERVING", secondListener.getLocalPort())
                 .replace("'az':'a'", "'az':'b'")));
-    await("the list is read", () -> metric("backends_known") == 2);
+    await("the endpoint list is applied", () -> metric("backends_known") == 2);
     server.reload(
         Files.writeString(
             folder.resolve("config.json"),
             config.replace("[\"a\",\"b\"]", "[\"b\",\"a\"]").replace("\"zone\":0", "\"zone\":1")));
-    await("read again", () -> metric("reloads_ok") == 1);
+    await("the configuration is reloaded", () -> metric("reloads_ok") == 1);
     answerAll(firstListener);
     assertEquals("200 played", call(request("buy")));
     secondListener.setSoTimeout(1);
     assertThrows(SocketTimeoutException.class, () -> secondListener.accept());
   }
 
-  /** Sends requests until one is answered; before that they may only be rejected. */
+  /** Sends requests until one is answered; fails if one gets another answer than 503 before. */
   private static void callUntilAnsweredOrFail(Socket client) throws IOException {
     String answer = call(client, request("buy"));
     while (!answer.equals("200 played")) {
-      assertTrue(answer.startsWith("503"), answer);
+      assertTrue(answer.startsWith("503"), "expected 503, got " + answer);
       answer = call(client, request("buy"));
     }
   }
--- a/proxy/src/test/java/wheattrack/net/DescriptorBudgetTest.java
+++ b/proxy/src/test/java/wheattrack/net/DescriptorBudgetTest.java
@@ -7,7 +7,7 @@
 import wheattrack.config.Json;
 import wheattrack.config.ProxyConfig;
 
-/** The shares of the process's file descriptors. */
+/** How many file descriptors clients and backends get. */
 class DescriptorBudgetTest {
   private static ProxyConfig config(int maxDescriptors, String furtherKeys) throws IOException {
     String text =
@@ -21,13 +21,13 @@
   }
 
   @Test
-  void reservesASixteenthButThirtyTwoAtLeast() throws IOException {
+  void reservesASixteenthAndAtLeast32() throws IOException {
     assertEquals(new DescriptorBudget(556, 345), DescriptorBudget.of(config(1024, ""), false));
     assertEquals(new DescriptorBudget(18, 11), DescriptorBudget.of(config(64, ""), false));
   }
 
   @Test
-  void twoProcessesHaveHalfOfAllEach() throws IOException {
+  void eachOfTwoProcessesGetsHalf() throws IOException {
     assertEquals(new DescriptorBudget(259, 161), DescriptorBudget.of(config(1024, ""), true));
     assertEquals(new DescriptorBudget(4, 2), DescriptorBudget.of(config(64, ""), true));
   }
--- a/proxy/src/test/java/wheattrack/net/EndpointListServer.java
+++ b/proxy/src/test/java/wheattrack/net/EndpointListServer.java
@@ -13,14 +13,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** A stand-in for the discovery service: sends the lines of a test to the latest watch. */
+/** A fake discovery service, which sends the endpoint list lines of a test to the latest watch. */
 final class EndpointListServer {
-  /** How much of a line is sent before the connection is closed within it, in characters. */
+  /** How many characters of a line are sent if the connection is closed within it. */
   private static final int PART_LENGTH = 35;
 
   private static final int POLL_MILLIS = 5;
 
-  /** What happens on the watch next. */
+  /** What the server does next on the watch. */
   private enum Kind {
     LINE,
     PART_OF_LINE,
@@ -37,7 +37,7 @@
   /**
    * Creates a server without lines.
    *
-   * @param observations gets the requested target of each watch
+   * @param observations receives the request target of each watch
    */
   EndpointListServer(Queue<String> observations) {
     this.observations = observations;
@@ -48,7 +48,7 @@
     events.add(new WatchEvent(Kind.LINE, line));
   }
 
-  /** Sends a part of this line, then closes the watch. */
+  /** Sends the start of this line, then closes the watch within the line. */
   void sendPartOf(String line) {
     events.add(new WatchEvent(Kind.PART_OF_LINE, line));
   }
@@ -58,12 +58,12 @@
     events.add(new WatchEvent(Kind.CLOSE, ""));
   }
 
-  /** Drops what has not been sent yet. */
+  /** Removes the lines and closings that have not been sent yet. */
   void clear() {
     events.clear();
   }
 
-  /** How many watches there have been. */
+  /** How many watches have been requested so far. */
   int watchCount() {
     return watchCount.get();
   }
@@ -73,7 +73,7 @@
     isStopped = true;
   }
 
-  /** Serves one watch until there is a later one. */
+  /** Serves one watch until it is closed or a later watch is requested. */
   void serve(Socket socket) throws Exception {
     InputStream input = new BufferedInputStream(socket.getInputStream());
     observations.add(readHead(input).split(" ")[1]);
--- a/proxy/src/test/java/wheattrack/net/JitWarmUpTest.java
+++ b/proxy/src/test/java/wheattrack/net/JitWarmUpTest.java
@@ -7,8 +7,11 @@
 import wheattrack.config.Json;
 import wheattrack.config.Settings;
 
-/** Checks how many requests a warm-up runs. */
+/** How many requests a warm-up runs. */
 class JitWarmUpTest {
+  private static final int MAX_REQUESTS = 4000;
+  private static final long ONE_MINUTE_NANOS = 60_000_000_000L;
+
   private static Settings settings() throws Exception {
     return new Settings(
         Json.object(
@@ -16,16 +19,16 @@
                 + "{\"name\":\"pay\",\"effect\":\"non_idempotent\"}],\"balancers\":14}"));
   }
 
-  /** Mass restart: a start that has no time left still runs each class once, then is ready. */
+  /** Without any time left (as in a mass restart) a warm-up still runs each class once. */
   @Test
-  void eachClassRunsOnceWithoutTime() throws Exception {
-    assertEquals(2, new JitWarmUp(settings()).run(4000, 0));
+  void eachClassRunsOnceWithoutTimeLeft() throws Exception {
+    assertEquals(2, new JitWarmUp(settings()).run(MAX_REQUESTS, 0));
   }
 
-  /** With time left it runs on, up to the number of requests that was requested. */
+  /** With enough time a warm-up runs the given number of requests, and few more. */
   @Test
-  void runsUpToTheNumberOfRequests() throws Exception {
-    int requests = new JitWarmUp(settings()).run(50, 60_000_000_000L);
+  void runsTheGivenNumberOfRequests() throws Exception {
+    int requests = new JitWarmUp(settings()).run(50, ONE_MINUTE_NANOS);
     assertTrue(requests >= 50 && requests < 60, requests + " requests");
   }
 }
--- a/proxy/src/test/java/wheattrack/net/LoadReportsTest.java
+++ b/proxy/src/test/java/wheattrack/net/LoadReportsTest.java
@@ -20,8 +20,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Load reports on sockets, from backends that always report the same load. */
+/** Load reports over sockets, from backends that always report the same load. */
 class LoadReportsTest extends ProxyTestHarness {
+  /** A backend with more requests in flight reports its load in a malformed header. */
+  private static final int MAX_REPORTED_IN_FLIGHT = 30;
+
   private final AtomicInteger probesReceived = new AtomicInteger();
 
   private String startReportingBackend(String name, int inFlight) throws Exception {
@@ -42,7 +45,7 @@
       send(
           socket,
           "HTTP/1.1 200 OK\r\nServer-Load: "
-              + (inFlight > 30 ? "{no JSON" : loadReport)
+              + (inFlight > MAX_REPORTED_IN_FLIGHT ? "{no JSON" : loadReport)
               + "\r\nContent-Length: "
               + body.length()
               + "\r\n\r\n"
@@ -72,9 +75,9 @@
     return listPort;
   }
 
-  /** After a reload that switches reports on, backends get load probes, not health checks. */
+  /** After a reload that switches reports on, backends receive load probes, not health checks. */
   @Test
-  void reloadSwitchesProbesOn(@TempDir Path folder) throws Exception {
+  void reloadSwitchesLoadProbesOn(@TempDir Path folder) throws Exception {
     int listPort = startReportingProxy("none", "", 20, 0);
     countAnswersOf("s1", 5);
     assertEquals(0, probesReceived.get());
@@ -82,7 +85,7 @@
         Files.writeString(folder.resolve("proxy.json"), configWithReports("probe", listPort)));
     countAnswersOf("s1", 5);
     assertEquals(20, countAnswersOf("s1", 20));
-    assertTrue(probesReceived.get() >= 20, probesReceived + " probes");
+    assertTrue(probesReceived.get() >= 20, "expected at least 20 probes, got " + probesReceived);
   }
 
   private int countAnswersOf(String name, int requests) throws Exception {
@@ -94,10 +97,10 @@
   }
 
   /**
-   * Load is probed before each request, and the busy backend gets none. In KNOWN-RED.txt: beside 20
-   * busy processes one of the 20 requests was not answered by the idle backend; the log then says
-   * that a backend was silent for 504 ms, but not which answer came instead; in one of three later
-   * runs it was the first request, which the busy backend answered.
+   * Load is probed before each request, and the busy backend receives no request. Listed in
+   * KNOWN-RED.txt: beside 20 busy processes the idle backend may answer only 19 of the 20 requests.
+   * The log then says that a backend was silent for 504 ms, but not which answer the client got; in
+   * one of three later runs the busy backend answered the first request.
    */
   @Tag("known-red")
   @Test
@@ -108,19 +111,19 @@
       answers.add(call(request("buy")));
     }
     assertEquals(Collections.nCopies(20, "200 s1"), answers);
-    assertTrue(probesReceived.get() >= 20, probesReceived + " probes");
+    assertTrue(probesReceived.get() >= 20, "expected at least 20 probes, got " + probesReceived);
   }
 
-  /** Load is read from the configured header of answers; nothing is probed. */
+  /** Load is read from the configured header of answers; there are no load probes. */
   @Test
   void loadHeaderKeepsRequestsOffTheBusyBackend() throws Exception {
     startReportingProxy("answers", "Server-Load", 20, 0, 0);
     int atBusyBackend = countAnswersOf("s0", 30);
-    assertTrue(atBusyBackend <= 3, atBusyBackend + " of 30 went to the busy backend");
+    assertTrue(atBusyBackend <= 3, "expected at most 3 of 30 requests at the busy backend, got " + atBusyBackend);
     assertEquals(0, probesReceived.get());
   }
 
-  /** A malformed header is no report, and its answer is passed on. */
+  /** A malformed load header is ignored, and its answer is forwarded to the client. */
   @Test
   void malformedLoadHeaderIsIgnored() throws Exception {
     startReportingProxy("answers", "Server-Load", 40);
--- a/proxy/src/test/java/wheattrack/net/LogRecording.java
+++ b/proxy/src/test/java/wheattrack/net/LogRecording.java
@@ -6,12 +6,12 @@
 import java.util.logging.Logger;
 import wheattrack.testing.TraceRecorder;
 
-/** Puts the log into the trace, without ports and paths, which differ from run to run. */
+/** Records log lines in the trace, without ports and paths, which differ from run to run. */
 final class LogRecording extends Handler implements AutoCloseable {
   private final Logger logger = Logger.getLogger(ProxyTestHarness.LOGGER_NAME);
   private final TraceRecorder recorder;
 
-  /** Records what is logged from this level on, until it is closed. */
+  /** Starts to record the log lines of this level and above; {@link #close} ends it. */
   LogRecording(TraceRecorder recorder, Level level) {
     this.recorder = recorder;
     logger.addHandler(this);
--- a/proxy/src/test/java/wheattrack/net/ManualBackendHarness.java
+++ b/proxy/src/test/java/wheattrack/net/ManualBackendHarness.java
@@ -28,43 +28,51 @@
 import org.junit.jupiter.api.AfterEach;
 
 /**
- * A harness whose backends are operated by the test: each accept, answer and close waits until the
- * test makes it.
+ * A harness whose backends do nothing by themselves: the test accepts, answers and closes each
+ * connection explicitly.
  */
 abstract class ManualBackendHarness extends ProxyTestHarness {
-  /** The longest time of each wait, in milliseconds. */
+  /** The longest wait for a condition or for data on a socket, in milliseconds. */
   static final int TIMEOUT_MILLIS = 5000;
 
-  /** Ids of the requests that {@link #answerAll} has received completely, in their order. */
+  /** A connection that is not accepted within this time shows that the accept queue is full. */
+  private static final int QUEUE_FULL_TIMEOUT_MILLIS = 100;
+
+  /** Ids of the requests that {@link #answerAll} has received completely, in order of arrival. */
   final List<String> receivedIds = Collections.synchronizedList(new ArrayList<>());
 
-  private final List<Socket> fillers = new ArrayList<>();
+  private final List<Socket> queuedSockets = new ArrayList<>();
   private LoopPause loopPause;
 
-  /** Waits until the condition is met. */
+  /**
+   * Waits until a condition is met, and fails after {@link #TIMEOUT_MILLIS}.
+   *
+   * @param condition the condition in words, for the failure message
+   */
   static void await(String condition, BooleanSupplier isMet) throws InterruptedException {
     long deadline = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000L;
     while (!isMet.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadline, "timed out: " + condition);
+      assertTrue(System.nanoTime() < deadline, "not within " + TIMEOUT_MILLIS + " ms: " + condition);
       Thread.sleep(1);
     }
   }
 
-  /** Listens at a free port, where the test accepts. */
-  ServerSocket listenByHand(int backlog) throws IOException {
+  /** Listens at a free port; the test has to accept the connections. */
+  ServerSocket listenWithoutAccepting(int backlog) throws IOException {
     ServerSocket listener = new ServerSocket(0, backlog, InetAddress.getByName("127.0.0.1"));
     listener.setSoTimeout(TIMEOUT_MILLIS);
     listeners.add(listener);
     return listener;
   }
 
-  /** Fills the accept queue, so that connecting waits from now on until the test accepts. */
+  /** Fills the accept queue, so that further connections are not opened until the test accepts. */
   void fillAcceptQueue(ServerSocket listener) throws IOException {
     while (true) {
       Socket filler = new Socket();
-      fillers.add(filler);
+      queuedSockets.add(filler);
       try {
-        filler.connect(new InetSocketAddress("127.0.0.1", listener.getLocalPort()), 100);
+        filler.connect(new InetSocketAddress("127.0.0.1", listener.getLocalPort()),
+            QUEUE_FULL_TIMEOUT_MILLIS);
       } catch (SocketTimeoutException full) {
         filler.close();
         return;
@@ -80,8 +88,8 @@
   }
 
   /**
-   * Reads one complete request: its id, or its target if it has none; "end", "nothing" or "reset"
-   * if the connection ended, timed out or was reset before.
+   * Reads one complete request and returns its id, or its target if it has no id. Returns "end",
+   * "nothing" or "reset" if the connection ended, timed out or was reset before.
    */
   static String readRequest(Socket socket) {
     try {
@@ -110,7 +118,11 @@
     return socket;
   }
 
-  /** Answers a request; each of the headers ends with a line break. */
+  /**
+   * Writes an answer.
+   *
+   * @param headers further headers, each with its line break, or an empty text
+   */
   static void writeAnswer(Socket socket, String status, String headers, String body)
       throws IOException {
     send(
@@ -125,7 +137,7 @@
             + body);
   }
 
-  /** Answers all requests on all connections from now on. */
+  /** Accepts all connections, and answers all requests on them, from now on. */
   void answerAll(ServerSocket listener) {
     startThread(
         () -> {
@@ -160,20 +172,20 @@
     }
   }
 
-  /** No backend that answers all has received this request. */
+  /** Asserts that {@link #answerAll} has not received this request completely. */
   void assertNotReceived(String request) {
     String id = requestId(request);
-    assertFalse(receivedIds.contains(id), receivedIds + " after " + id);
+    assertFalse(receivedIds.contains(id), "request " + id + " was received, all received: " + receivedIds);
   }
 
-  /** A configuration with an admin address, and with these entries on the list. */
+  /** A configuration with an admin address, and with these entries in the endpoint list. */
   String configWithEndpoints(String... endpoints) throws IOException {
     endpointList.send(listLine(1, true, endpoints));
     return config(listen(endpointList::serve).getLocalPort())
         .replace("\"drain_ms\"", "\"admin\":\"127.0.0.1:0\",\"drain_ms\"");
   }
 
-  /** The next line of the log with this text pauses the event loop until it is released. */
+  /** Pauses the event loop at the next log line that contains this text, until it is released. */
   LoopPause pauseLoopAt(String text) {
     loopPause = new LoopPause(text);
     Logger logger = Logger.getLogger("wheattrack");
@@ -192,12 +204,12 @@
       logger.setUseParentHandlers(true);
       logger.setLevel(Level.SEVERE);
     }
-    for (Socket filler : fillers) {
-      filler.close();
+    for (Socket queuedSocket : queuedSockets) {
+      queuedSocket.close();
     }
   }
 
-  /** Pauses the event loop, on whose thread the log is written. */
+  /** A log handler that pauses the event loop, because the log is written on the loop's thread. */
   static final class LoopPause extends Handler {
     private final String text;
     private final CountDownLatch reached = new CountDownLatch(1);
@@ -209,10 +221,10 @@
 
     /** Waits until the event loop is paused. */
     void awaitReached() throws InterruptedException {
-      assertTrue(reached.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "not logged: " + text);
+      assertTrue(reached.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS), "not logged within " + TIMEOUT_MILLIS + " ms: " + text);
     }
 
-    /** Lets the event loop go on. */
+    /** Lets the event loop continue. */
     void release() {
       released.countDown();
     }
--- a/proxy/src/test/java/wheattrack/net/PackageDependenciesTest.java
+++ b/proxy/src/test/java/wheattrack/net/PackageDependenciesTest.java
@@ -14,15 +14,15 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** Each package below {@code wheattrack.net} knows only those that it may depend on. */
+/** Each package below {@code wheattrack.net} uses only the packages that it may depend on. */
 class PackageDependenciesTest {
   private static final Path SOURCES = Path.of("src/main/java/wheattrack/net");
 
-  /** A qualified name of a class or package below {@code wheattrack.net}, or of one in it. */
+  /** A qualified name: its group is the package or class directly in {@code wheattrack.net}. */
   private static final Pattern NAME_IN_NET =
       Pattern.compile("\\bwheattrack\\.net\\.(?<next>[A-Za-z]\\w*)");
 
-  /** The packages that each one may depend on, as in {@code docs/architecture.md}. */
+  /** For each package, those that it may depend on, as in {@code docs/architecture.md}. */
   private static final Map<String, Set<String>> ALLOWED =
       Map.of(
           "protocol", Set.of(),
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void packagesKnowOnlyThoseThatTheyMayDependOn() throws IOException {
+  void packagesUseOnlyTheirAllowedDependencies() throws IOException {
     Map<String, Set<String>> used = new TreeMap<>();
     for (String name : ALLOWED.keySet()) {
       used.put(name, dependencies(name));
@@ -54,7 +54,7 @@
     assertEquals(new TreeMap<>(ALLOWED), used);
   }
 
-  /** The packages named in the sources of a package; a class of {@code wheattrack.net} by name. */
+  /** The packages of, and classes directly in, {@code wheattrack.net} that a package names. */
   private static Set<String> dependencies(String packageName) throws IOException {
     Set<String> names = new TreeSet<>();
     try (Stream<Path> files = Files.list(SOURCES.resolve(packageName))) {
--- a/proxy/src/test/java/wheattrack/net/ProcessLockTest.java
+++ b/proxy/src/test/java/wheattrack/net/ProcessLockTest.java
@@ -7,13 +7,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The roles of processes of one proxy that run at the same time. */
+/** The roles of processes of the same proxy that run at the same time. */
 class ProcessLockTest {
   @TempDir Path folder;
 
-  /** Two replacements, one after the other, with a file that a dead process left. */
+  /** Two replacements, one after the other, despite a lock file that a dead process left. */
   @Test
-  void roleThroughTwoReplacementsAndLeftovers() throws Exception {
+  void rolesFollowTwoReplacementsDespiteALeftoverFile() throws Exception {
     Files.writeString(folder.resolve("wheattrack-a_8000.seats"), "left over");
     ProcessLock first = new ProcessLock(folder, "a:8000");
     StringBuilder trace = new StringBuilder("a " + first.refresh());
--- a/proxy/src/test/java/wheattrack/net/ProxyTestHarness.java
+++ b/proxy/src/test/java/wheattrack/net/ProxyTestHarness.java
@@ -29,26 +29,35 @@
   /** How many file descriptors a proxy may use unless a test needs another number. */
   static final int MAX_SOCKETS = 1024;
 
+  /** The name of the logger to which the proxy writes its log. */
   static final String LOGGER_NAME = "wheattrack";
 
+  private static final int CONNECT_TIMEOUT_MILLIS = 1000;
+  private static final int READ_TIMEOUT_MILLIS = 5000;
+
   final TraceRecorder recorder = new TraceRecorder();
 
   /** All listeners, which are closed at the end of the test. */
   final List<ServerSocket> listeners = new ArrayList<>();
 
-  /** The targets of watches, and "closed" for each connection that a backend saw close. */
+  /**
+   * What discovery and the backends have seen: the request target of each watch, and "closed" for
+   * each connection to a backend that has ended.
+   */
   final BlockingQueue<String> observations = new LinkedBlockingQueue<>();
 
-  /** How many requests the backends have received. */
+  /** How many requests all backends together have received. */
   final AtomicInteger requestsReceived = new AtomicInteger();
 
-  /** The backends of {@link #startBackend}. */
+  /** The backends that {@link #startBackend} starts; they share one script. */
   final ScriptedBackends backends = new ScriptedBackends(requestsReceived, observations);
 
   /** The discovery service of the proxy. */
   final EndpointListServer endpointList = new EndpointListServer(observations);
 
+  /** The proxy under test, the port for its clients, and the thread that runs it. */
   ProxyServer server;
+
   int port;
   Thread serverThread;
 
@@ -76,12 +85,12 @@
     return listener;
   }
 
-  /** What a thread of the test does. */
+  /** The task of a thread of the test, which may throw any exception. */
   interface ThrowingRunnable {
     void run() throws Exception;
   }
 
-  /** Starts a daemon thread that ends at the first error. */
+  /** Starts a daemon thread; an exception ends it and is ignored. */
   static Thread startThread(ThrowingRunnable task) {
     Thread thread =
         new Thread(
@@ -89,7 +98,7 @@
               try {
                 task.run();
               } catch (Exception e) {
-                // the other side has gone, or the test is over
+                // the peer has closed its connection, or the test is over
                 Thread.currentThread().interrupt();
               }
             });
@@ -98,7 +107,7 @@
     return thread;
   }
 
-  /** An entry of the list, in JSON with single quotes. */
+  /** An entry of the endpoint list, in JSON with single quotes. */
   static String endpoint(String id, String state, int port) {
     return "{'uid':'"
         + id
@@ -109,12 +118,12 @@
         + "'}";
   }
 
-  /** Starts a backend of this name and returns its entry of the list. */
+  /** Starts a backend of this name and returns its entry of the endpoint list. */
   String startBackend(String name) throws IOException {
     return endpoint(name, "SERVING", listen(socket -> backends.serve(name, socket)).getLocalPort());
   }
 
-  /** Starts that many backends, named s0, s1 and so on, and returns their entries of the list. */
+  /** Starts backends named s0, s1 and so on, and returns their entries of the endpoint list. */
   String[] startBackends(int count) throws IOException {
     String[] endpoints = new String[count];
     for (int i = 0; i < count; i++) {
@@ -123,7 +132,7 @@
     return endpoints;
   }
 
-  /** A line of the list: a snapshot or changes. */
+  /** A line of the endpoint list: a snapshot of all entries, or changed entries. */
   static String listLine(int revision, boolean isSnapshot, String... endpoints) {
     return ("{'rev':"
             + revision
@@ -155,12 +164,16 @@
     serverThread = startThread(proxy::run);
   }
 
-  /** A configuration with the usual number of descriptors and no known list. */
+  /** A configuration with {@link #MAX_SOCKETS} descriptors and no known endpoint list. */
   static String config(int listPort) {
     return config(listPort, MAX_SOCKETS, "{}");
   }
 
-  /** A configuration; further keys may follow the known list. */
+  /**
+   * A configuration with the rule sets buy, mark and pay, one per effect.
+   *
+   * @param knownList the value of the key "known", which further keys may follow
+   */
   static String config(int listPort, int maxSockets, String knownList) {
     String classSettings =
         "','clientTimeout':1500000,'responseTarget':1000000,'group':'all','window':5000000,"
@@ -185,12 +198,12 @@
         .replace('\'', '"');
   }
 
-  /** Starts a proxy with backends s0, s1 and so on on its list. */
+  /** Starts a proxy whose endpoint list has the backends s0, s1 and so on. */
   void startProxyWithBackends(int backendCount) throws Exception {
     startProxyWithBackends(backendCount, "{}");
   }
 
-  /** The same with an admin address. */
+  /** Starts the same proxy as {@link #startProxyWithBackends(int)}, with an admin address. */
   void startProxyWithAdmin(int backendCount) throws Exception {
     startProxyWithBackends(backendCount, "{},\"admin\":\"127.0.0.1:0\"");
   }
@@ -211,42 +224,42 @@
     }
   }
 
-  /** A client's connection to the proxy. */
+  /** Opens a client's connection to the proxy. */
   Socket connect() throws IOException {
     Socket socket = new Socket();
-    socket.connect(new InetSocketAddress("127.0.0.1", port), 1000);
-    socket.setSoTimeout(5000);
+    socket.connect(new InetSocketAddress("127.0.0.1", port), CONNECT_TIMEOUT_MILLIS);
+    socket.setSoTimeout(READ_TIMEOUT_MILLIS);
     return socket;
   }
 
-  /** Waits until a first request has reached a backend. */
+  /** Waits until a backend has received a request. */
   void awaitFirstRequest() throws InterruptedException {
     while (requestsReceived.get() == 0) {
       Thread.sleep(5);
     }
   }
 
-  /** The answer to this request on a connection of its own. */
+  /** Sends a request on a new connection, and returns its answer as in {@link RawHttp#readAnswer}. */
   String call(String text) throws IOException {
     try (Socket socket = connect()) {
       return call(socket, text);
     }
   }
 
-  /** The answer to this request on this connection. */
+  /** Sends a request on this connection, and returns its answer. */
   static String call(Socket socket, String text) throws IOException {
     send(socket, text);
     return readAnswer(socket);
   }
 
-  /** All metrics at this admin port. */
+  /** Requests all metrics at this admin port. */
   static String readMetrics(int adminPort) throws IOException {
     try (Socket socket = new Socket("127.0.0.1", adminPort)) {
       return call(socket, "GET /status/metrics HTTP/1.1\r\n\r\n");
     }
   }
 
-  /** One metric of the proxy, which needs an admin address; the name is without its prefix. */
+  /** Requests one metric of the proxy by its name without "proxy."; needs an admin address. */
   int metric(String name) {
     try {
       String metrics = readMetrics(server.adminPort());
@@ -256,7 +269,7 @@
     }
   }
 
-  /** Records what is logged from this level on, until it is closed. */
+  /** Records the log lines of this level and above in the trace until it is closed. */
   LogRecording recordLog(Level level) {
     return new LogRecording(recorder, level);
   }
--- a/proxy/src/test/java/wheattrack/net/RawHttp.java
+++ b/proxy/src/test/java/wheattrack/net/RawHttp.java
@@ -7,14 +7,14 @@
 import java.nio.charset.StandardCharsets;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** HTTP messages as plain text on sockets, for both clients and backends of a test. */
+/** Reads and writes HTTP messages as text on sockets, for the clients and backends of tests. */
 final class RawHttp {
   private static final AtomicInteger LAST_REQUEST_ID = new AtomicInteger();
   private static final String CONTENT_LENGTH = "content-length: ";
 
   private RawHttp() {}
 
-  /** Reads a head up to its empty line; null: the connection ended before. */
+  /** Reads a head including its empty line; null if the connection ends before. */
   static String readHead(InputStream input) throws IOException {
     ByteArrayOutputStream head = new ByteArrayOutputStream();
     for (int next = input.read(); next >= 0; next = input.read()) {
@@ -41,7 +41,7 @@
     return head.replaceAll("(?s).*Request-Id: (\\w+).*", "$1");
   }
 
-  /** Sends these characters, a byte each. */
+  /** Sends this text, one byte per character (ISO 8859-1). */
   static void send(Socket socket, String text) throws IOException {
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
@@ -51,7 +51,7 @@
     send(socket, Integer.toHexString(text.length()) + "\r\n" + text + "\r\n");
   }
 
-  /** A request of this class with an id of its own. */
+  /** Creates a request of this class with a new request id. */
   static String request(String className) {
     return "POST /"
         + className
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Reads an answer: its status, " wait" if it names a Retry-After, the body, and " close" if the
-   * connection ends.
+   * Reads an answer and returns its status, " wait" if it has a Retry-After header, its body, and
+   * " close" if it announces that the connection is closed; only "closed" if there is no answer.
    */
   static String readAnswer(Socket socket) throws IOException {
     InputStream input = socket.getInputStream();
--- a/proxy/src/test/java/wheattrack/net/ScriptedBackends.java
+++ b/proxy/src/test/java/wheattrack/net/ScriptedBackends.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Backends that share one script: each request takes the next action of it, whichever backend
- * receives it, and once the script is over each request is answered with {@link BackendAction#OK}.
+ * Backends that share one script: each request takes the next action from it, whichever backend
+ * receives it. While the script is empty, requests are answered with {@link BackendAction#OK}.
  */
 final class ScriptedBackends {
   private static final int SLOW_OK_MILLIS = 400;
@@ -31,7 +31,7 @@
    * Creates backends without a script.
    *
    * @param requestsReceived counts the requests of all backends
-   * @param observations gets "closed" for each connection that a backend saw close
+   * @param observations receives "closed" for each connection to a backend that has ended
    */
   ScriptedBackends(AtomicInteger requestsReceived, Queue<String> observations) {
     this.requestsReceived = requestsReceived;
@@ -43,7 +43,7 @@
     script.addAll(List.of(actions));
   }
 
-  /** Drops the rest of the script. */
+  /** Removes the remaining actions from the script. */
   void clearScript() {
     script.clear();
   }
@@ -53,7 +53,7 @@
     return script.isEmpty();
   }
 
-  /** Serves one connection of the backend of this name until it ends. */
+  /** Serves one connection of the backend with this name until the connection ends. */
   void serve(String name, Socket socket) throws Exception {
     InputStream input = new BufferedInputStream(socket.getInputStream());
     for (String head = readHead(input); head != null; head = readHead(input)) {
@@ -108,7 +108,7 @@
     send(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
   }
 
-  /** Answers with the head of the request, without the times that differ from run to run. */
+  /** Answers with the head of the request; its timeout, which varies between runs, is masked. */
   private static void sendEcho(Socket socket, String head) throws IOException {
     String body = head.strip().replaceAll("out: [0-9.]+", "out: T").replace("\r\n", "|");
     send(
--- a/proxy/src/test/java/wheattrack/net/WatchEventsTest.java
+++ b/proxy/src/test/java/wheattrack/net/WatchEventsTest.java
@@ -21,7 +21,7 @@
   /** A list may be indented, and cut into packets at any byte. */
   @Test
   void indentedListIsRead() throws Exception {
-    firstListener = listenByHand(BACKLOG);
+    firstListener = listenWithoutAccepting(BACKLOG);
     answerAll(firstListener);
     String listLine =
         listLine(1, true, endpoint("s0", "SERVING", firstListener.getLocalPort()))
