--- a/proxy/src/test/java/wheattrack/net/ClientDisconnectTest.java
+++ b/proxy/src/test/java/wheattrack/net/ClientDisconnectTest.java
@@ -61,9 +61,7 @@
   /** More than five sixths of the response target, after which a request is hedged. */
   private static final int HEDGE_DELAY_MILLIS = 1200;
 
-  /**
-   * The kernel retransmits the SYN of a connection that was not accepted within this time (1 s).
-   */
+  /** Within this time the kernel retransmits the SYN of a connection that was not accepted. */
   private static final int SYN_RETRY_MILLIS = 1500;
 
   private static final int BURST_CLIENTS = 250;
--- a/proxy/src/test/java/wheattrack/net/ProxyServerTest.java
+++ b/proxy/src/test/java/wheattrack/net/ProxyServerTest.java
@@ -28,7 +28,9 @@
   /** After this time ejected backends are probed again. */
   private static final int EJECTION_MILLIS = 1100;
 
+  /** Within this time a sent line of the endpoint list is applied. */
   private static final int LIST_CHANGE_MILLIS = 300;
+
   private static final int SILENT_CLIENTS = 27;
   private static final int BURST_CLIENTS = 30;
 
