--- a/proxy/src/test/java/wheattrack/net/SettingsSubscriptionTest.java
+++ b/proxy/src/test/java/wheattrack/net/SettingsSubscriptionTest.java
@@ -189,7 +189,8 @@
   }
 
   /**
-   * Malformed or oversized settings are counted and rejected, and the current ones stay in force.
+   * Settings that are malformed, endless or too large are counted and rejected, and the current
+   * ones stay in force.
    */
   @Test
   void malformedSettingsAreCountedAndRejected() throws Exception {
