--- a/proxy/src/main/java/wheattrack/net/JitWarmUp.java
+++ b/proxy/src/main/java/wheattrack/net/JitWarmUp.java
@@ -163,7 +163,7 @@
 
   @Override
   public void fail(PendingRequest request) {
-    Encoder.response(ProtocolMapping.textAnswer(502, "given up", true));
+    Encoder.response(ProtocolMapping.textAnswer(502, "no usable response from a backend", true));
   }
 
   @Override
--- a/proxy/src/main/java/wheattrack/net/backend/BackendAttempt.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendAttempt.java
@@ -125,7 +125,7 @@
     }
     hasEnded = true;
     loop().cancel(timer);
-    ResponseBodyReceiver receiver = onStreamingAnswer(head);
+    ResponseBodyReceiver receiver = onStreamingResponse(head);
     if (receiver == null) {
       backend.attemptEnded();
     }
@@ -157,7 +157,7 @@
    * See {@link #beginStreaming}. By default long answers are not accepted: the attempt ends as if
    * its connection broke.
    */
-  protected ResponseBodyReceiver onStreamingAnswer(Response head) {
+  protected ResponseBodyReceiver onStreamingResponse(Response head) {
     onEnd(AttemptOutcome.RESET, null);
     return null;
   }
--- a/proxy/src/main/java/wheattrack/net/client/BodyPartConsumer.java
+++ b/proxy/src/main/java/wheattrack/net/client/BodyPartConsumer.java
@@ -3,13 +3,13 @@
 import java.nio.ByteBuffer;
 
 /**
- * Takes the parts of a long request body, one for each call of {@link
+ * Receives the parts of a long request body, one for each call of {@link
  * ClientConnection#requestBodyPart}. It is called on the event loop's thread.
  */
 @FunctionalInterface
 public interface BodyPartConsumer {
   /**
-   * Takes a part.
+   * Receives a part.
    *
    * @param part the bytes; may be empty if it is the last one
    * @param isLast whether the body ends with it
--- a/proxy/src/main/java/wheattrack/net/client/ClientConnection.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientConnection.java
@@ -15,7 +15,7 @@
 import wheattrack.net.protocol.ProtocolMapping;
 
 /**
- * One client's connection; it has one request open at a time. {@link RequestBodyReader} does the
+ * One client's connection; it carries one request at a time. {@link RequestBodyReader} does the
  * reading, {@link ConnectionTimeouts} bounds each wait for the client. Runs on the event loop's
  * thread only.
  */
@@ -29,9 +29,9 @@
   /**
    * How long a client may take to send the first byte of a request before its connection may be
    * evicted for another; tenths of a millisecond. A client that connects to send a request does so
-   * at once, though on a busy machine it may be suspended in between. Each place of a full table is
-   * held for this long by whoever is silent: with twice this time, half as many clients beside a
-   * silent crowd were answered.
+   * immediately, though on a busy machine it may be suspended in between. While the connection
+   * limit is reached, each silent client occupies one of the connections for this long: with twice
+   * this time, half as many clients got a response beside many silent ones.
    */
   static final long EVICTION_GRACE = 500;
 
@@ -43,7 +43,7 @@
   private final ConnectionTimeouts timeouts;
   private final RequestBodyReader bodyReader;
 
-  /** Whether a request is open, or the connection only waits to be closed. */
+  /** Whether a request is open, or the connection is only waiting to be closed. */
   private boolean isBusy;
 
   private boolean isHeadRequest;
@@ -52,7 +52,7 @@
   private long receivedBytes;
   private long requestCount;
 
-  /** When it connected, or had its last response; tenths of a millisecond. */
+  /** When it connected, or its last response was written; tenths of a millisecond. */
   private long idleSince;
 
   /** When the first byte of the current head was received; tenths of a millisecond. */
@@ -96,14 +96,16 @@
     read(decoder.writableBuffer());
   }
 
-  // ---- what the connection is doing
+  // ---- state
 
-  /** When it connected, or had its last response; tenths of a millisecond. */
+  /** When it connected, or its last response was written; tenths of a millisecond. */
   long idleSince() {
     return idleSince;
   }
 
-  /** Whether it is between two requests; one that has just connected is about to send one. */
+  /**
+   * Whether it is between two requests; a client that has just connected does not count as idle.
+   */
   boolean isIdle() {
     return !isBusy
         && !isLingering
@@ -120,7 +122,9 @@
     return isBusy && !isLingering;
   }
 
-  /** Whether it only waits for the client to close, and discards what the client still sends. */
+  /**
+   * Whether it only waits for the client to close, and discards the bytes that are still received.
+   */
   boolean isLingering() {
     return isLingering;
   }
@@ -137,7 +141,7 @@
 
   // ---- eviction
 
-  /** Its rank in the order of eviction. */
+  /** Its present place in the order of eviction. */
   EvictionPriority evictionPriority() {
     if (isLingering) {
       return EvictionPriority.LINGERING;
@@ -155,8 +159,8 @@
   }
 
   /**
-   * Whether its client takes longer to send a head than is allowed while others wait. Incident:
-   * many clients that each sent half a head held all connections for 2.4 s.
+   * Whether its client takes longer to send a head than is allowed while others wait. Otherwise
+   * many clients that each send half a head could occupy all connections for 2.4 s.
    */
   private boolean isHeadSlow() {
     return decoder.isMidMessage()
@@ -164,7 +168,7 @@
         && loop.now() - headSince > ConnectionTimeouts.HEAD_TIMEOUT_WHEN_FULL;
   }
 
-  /** Closes it in a later step, unless a request has been received by then. */
+  /** Closes it in a later step, unless it may no longer be evicted by then. */
   void evict() {
     EventLog.detail("client to be evicted", null, () -> evictionPriority() + ", " + description());
     loop.execute(
@@ -178,7 +182,7 @@
         });
   }
 
-  /** What tells one end of a connection from another, for the log. */
+  /** The client's address, the connection's age and its traffic, for the log. */
   private String description() {
     return remoteAddressText()
         + ", age "
@@ -220,7 +224,7 @@
     decoder.writableBuffer().clear();
     discardedBytes += count;
     if (decoder.isStreamingBody() && discardedBytes < listener.maxBodyBytes()) {
-      timeouts.extendClose(); // a client may read the response only after sending its long body
+      timeouts.extendClose(); // some clients read the response only after sending their long body
     }
   }
 
@@ -254,7 +258,7 @@
     timeouts.cancel();
     bodyReader.readMore();
     loop.execute(
-        () -> { // a disconnect that is pending is handled first
+        () -> { // in a later step, so that a pending disconnect is handled first
           if (!isClosed()) {
             listener.onRequest(this, request);
             bodyReader.readMore();
@@ -264,15 +268,17 @@
 
   private void onRequestTimeout() {
     if (decoder.isMidMessage() && !isLingering) {
-      rejectMalformed(StatusCode.REQUEST_TIMEOUT, "the request did not come whole");
+      rejectMalformed(
+          StatusCode.REQUEST_TIMEOUT, "the request was not received completely in time");
     } else {
       close();
     }
   }
 
   /**
-   * Responds to a malformed or incomplete request, and closes the connection after that. If the
-   * fault is in the body of the open request, that request counts as abandoned by its client.
+   * Responds to a malformed or incomplete request, and closes the connection after that. If it is
+   * the body of the open request that is malformed or incomplete, that request is handled as if its
+   * client had disconnected.
    */
   void rejectMalformed(int status, String reason) {
     listener.logErrorResponse(status, reason);
@@ -287,8 +293,8 @@
   }
 
   /**
-   * Sets the callback that runs once if the client disconnects before its response, or sends a
-   * malformed body.
+   * Sets the callback that runs once if the client disconnects before its response, or if the body
+   * of its request is malformed or incomplete.
    */
   public void onDisconnect(Runnable callback) {
     disconnectCallback = callback;
@@ -299,7 +305,7 @@
     bodyReader.requestPart(consumer);
   }
 
-  /** Withdraws the request for the next part of the body; bytes already received are kept. */
+  /** Cancels the request for the next part of the body; bytes already received stay buffered. */
   public void cancelBodyRequest() {
     bodyReader.cancelRequest();
   }
@@ -326,7 +332,9 @@
   }
 
   /**
-   * Sends the head and first bytes of a long response; the rest is given to the connection later.
+   * Sends the head and first bytes of a long response.
+   *
+   * @param rest notified when the parts sent so far are written; sends the following ones
    */
   public void sendStreamedResponse(Response head, StreamedResponse rest) {
     sendResponse(head);
@@ -352,7 +360,7 @@
     }
     timeouts.cancel();
     if (isComplete && streamedResponse != null) {
-      if (!streamedResponse.onClientDrained()) {
+      if (!streamedResponse.onPartsWritten()) {
         return;
       }
       streamedResponse = null;
@@ -380,8 +388,8 @@
   }
 
   /**
-   * Waits for the client to close: to close first, while it still sends, would reset the connection
-   * and could lose the response.
+   * Waits for the client to close. Closing first, while the client still sends, would reset the
+   * connection, and the client might lose the response.
    */
   private void linger() {
     isLingering = true;
--- a/proxy/src/main/java/wheattrack/net/client/ClientConnectionTable.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientConnectionTable.java
@@ -5,7 +5,7 @@
 import wheattrack.core.SlotTable;
 
 /**
- * The clients' connections and the limit on their number: knows whether a further one may be
+ * The clients' connections and the limit on their number: determines whether a further one may be
  * accepted, and evicts connections above the limit. Runs on the event loop's thread only.
  */
 final class ClientConnectionTable {
@@ -13,20 +13,25 @@
       Comparator.comparing(ClientConnection::evictionPriority)
           .thenComparingLong(ClientConnection::idleSince);
 
+  /**
+   * The limit divided by this is how many connections are accepted above it, besides one that
+   * always is.
+   */
+  private static final int SURPLUS_DIVISOR = 16;
+
   private final SlotTable<ClientConnection> connections = new SlotTable<>();
   private int maxConnections;
 
   /**
-   * Makes the table.
+   * Creates an empty table.
    *
-   * @param maxConnections connections that may stay open; a few more are accepted, see {@link
-   *     #isFull}
+   * @param maxConnections limit on open connections; a few more are accepted, see {@link #isFull}
    */
   ClientConnectionTable(int maxConnections) {
     this.maxConnections = maxConnections;
   }
 
-  /** Bounds the connections from now on; nothing is evicted yet. */
+  /** Sets the limit on connections from now on; nothing is evicted yet. */
   void setMaxConnections(int maxConnections) {
     this.maxConnections = maxConnections;
   }
@@ -51,7 +56,7 @@
    * requests are rejected rather than left waiting.
    */
   boolean isFull() {
-    return connections.size() >= maxConnections + 1 + maxConnections / 16;
+    return connections.size() >= maxConnections + 1 + maxConnections / SURPLUS_DIVISOR;
   }
 
   /** Whether there are more connections than the limit. */
@@ -65,8 +70,8 @@
   }
 
   /**
-   * Whether more requests are open than there may be connections. Idle clients, of which some are
-   * about to be evicted, do not count.
+   * Whether more requests are open than the limit on connections. Idle connections, of which some
+   * are about to be evicted, do not count.
    */
   boolean hasTooManyRequests() {
     return connections.size() > maxConnections && openRequests() > maxConnections;
--- a/proxy/src/main/java/wheattrack/net/client/ClientErrorLog.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientErrorLog.java
@@ -4,8 +4,8 @@
 import wheattrack.log.EventLog;
 
 /**
- * Logs requests and connections that are rejected, at most one line a second: malformed input may
- * arrive in floods. Runs on the event loop's thread only.
+ * Logs requests and connections that are rejected, at most one line a second, as malformed input
+ * may be received at a high rate. Runs on the event loop's thread only.
  */
 final class ClientErrorLog {
   /** The shortest time between two lines, in tenths of a millisecond. */
@@ -19,7 +19,10 @@
     this.loop = loop;
   }
 
-  /** Logs the event, or only counts it; the next line gives the number of events without a line. */
+  /**
+   * Logs the event, or only counts it if the last line is too recent; the next line tells how many
+   * events were not logged.
+   */
   void log(String event, String cause) {
     if (loop.now() - lastLoggedAt < MIN_LOG_INTERVAL) {
       suppressedLines++;
--- a/proxy/src/main/java/wheattrack/net/client/ClientListener.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientListener.java
@@ -24,12 +24,15 @@
   /** Length of the accept queue: connections that the system holds until they are accepted. */
   private static final int BACKLOG = 1024;
 
-  /** How long to wait after a failed accept, in tenths of a millisecond. */
+  /**
+   * How long to wait after a failed accept, or until it is tried again to stop accepting; tenths of
+   * a millisecond.
+   */
   private static final long RETRY_PAUSE = 200;
 
   /**
-   * How often connections that may be evicted are looked for while the limit is reached; tenths of
-   * a millisecond.
+   * How often the listener looks for connections that may be evicted while the limit is reached;
+   * tenths of a millisecond.
    */
   private static final long EVICTION_INTERVAL = ClientConnection.EVICTION_GRACE / 4;
 
@@ -38,7 +41,7 @@
     /** A request has been received; the connection waits for its one response. */
     void onRequest(ClientConnection client, Request request);
 
-    /** A request is rejected without being looked at, as too many clients are connected. */
+    /** A request is rejected without further checks, as too many clients are connected. */
     void onRejected(Request request);
   }
 
@@ -58,11 +61,11 @@
   private long acceptedConnections;
 
   /**
-   * Makes a listener that does not listen yet.
+   * Creates a listener that does not listen yet.
    *
    * @param maxClients limit on connections of clients; a few more are accepted, to have their
    *     requests rejected
-   * @param maxBodyBytes bytes of the longest request body
+   * @param maxBodyBytes length of the longest request body, in bytes
    * @param readinessRemark appended to the phase in the response to a readiness check
    */
   public ClientListener(
@@ -101,7 +104,7 @@
   }
 
   /**
-   * The port it listens at.
+   * The port it listens on.
    *
    * @throws IOException if the socket is closed
    */
@@ -134,11 +137,14 @@
       new ClientConnection(this, loop, client).start();
       evictSurplus();
     } finally {
-      accept(); // also after a failure: other clients wait
+      accept(); // even if this step failed, as other clients are waiting
     }
   }
 
-  /** Most likely descriptors have run out: one connection is evicted, and accepting pauses. */
+  /**
+   * Accepting failed, most likely as no file descriptor is left: one connection is evicted, and
+   * accepting pauses.
+   */
   private void onAcceptFailed(Throwable cause) {
     isAccepting = false;
     if (isListening()) {
@@ -156,7 +162,7 @@
     }
   }
 
-  /** The connection limit is reached: connections that may be evicted are looked for again. */
+  /** Schedules another search for connections to evict, as the connection limit is reached. */
   private void scheduleEviction() {
     if (evictionTimer == null) {
       evictionTimer = loop.schedule(EVICTION_INTERVAL, this::evictAndAccept);
@@ -174,8 +180,8 @@
   }
 
   /**
-   * Closes the listening socket once all clients that have connected by now are accepted; before
-   * that, closing it would reset their connections.
+   * Closes the listening socket once all clients that have connected by now are accepted. Closing
+   * it before that would reset their connections.
    */
   public void stopAccepting() {
     if (!isListening()) {
@@ -187,7 +193,8 @@
         () -> {
           if (acceptedConnections > acceptedBefore) {
             stopAccepting();
-          } else if (!isAccepting) { // the connection limit is reached: retry as connections close
+          } else if (!isAccepting) { // the connection limit is reached: retry once connections
+            // closed
             loop.schedule(RETRY_PAUSE, this::stopAccepting);
           } else {
             closeListeningSocket();
@@ -199,20 +206,20 @@
     try {
       channel.close();
     } catch (IOException e) {
-      EventLog.warning("the listening socket", null, e.toString());
+      EventLog.warning("listening socket not closed", null, e.toString());
     }
   }
 
   // ---- the connections
 
-  /** Bounds the connections from now on; surplus ones are closed as they become idle. */
+  /** Sets the limit on connections from now on; surplus ones are closed as they become idle. */
   public void setMaxClients(int maxClients) {
     connections.setMaxConnections(maxClients);
     evictSurplus();
     accept();
   }
 
-  /** How connections of clients ended. */
+  /** The counters of evicted connections, dropped reads and failed accepts. */
   public ClientConnectionCounters counters() {
     return counters;
   }
@@ -222,7 +229,7 @@
     return connections.add(client);
   }
 
-  /** The connection in this slot has closed: another one may be accepted. */
+  /** Removes the connection in this slot, which has closed; another one may be accepted. */
   void onClosed(int slot) {
     connections.remove(slot);
     accept();
@@ -243,17 +250,17 @@
     return readAheadBudget;
   }
 
-  /** Bytes of the longest request body. */
+  /** Length of the longest request body, in bytes. */
   long maxBodyBytes() {
     return maxBodyBytes;
   }
 
   /**
    * Whether a connection may stay open for a further request: only while few connections are open.
-   * Incident rde3a99: clients that sent one request and stayed connected used up the limit, and
-   * others could not connect.
+   * Otherwise clients that send one request and stay connected would use up the limit, and others
+   * could not connect.
    *
-   * @param isRequested whether the client asks for it
+   * @param isRequested whether the client requests to keep it open
    */
   public boolean mayKeepAlive(boolean isRequested) {
     return isRequested && !lifecycle.isShuttingDown() && connections.hasSpareCapacity();
@@ -262,8 +269,8 @@
   // ---- the requests
 
   /**
-   * A request has been received: responds to it if it is a readiness check or if too many requests
-   * are open, else passes it to the receiver.
+   * Responds to a received request if it is a readiness check or if too many requests are open;
+   * passes it to the receiver otherwise.
    */
   void onRequest(ClientConnection client, Request request) {
     String path = request.target().split("\\?", 2)[0];
@@ -285,7 +292,7 @@
     client.sendResponse(ProtocolMapping.textAnswer(status, text, keepsAlive));
   }
 
-  /** Logs that the proxy itself responds to a request with an error. */
+  /** Logs that the proxy itself, rather than a backend, responds to a request with an error. */
   public void logErrorResponse(int status, String reason) {
     errorLog.log("answered " + status, reason);
   }
--- a/proxy/src/main/java/wheattrack/net/client/ConnectionTimeouts.java
+++ b/proxy/src/main/java/wheattrack/net/client/ConnectionTimeouts.java
@@ -4,13 +4,13 @@
 import wheattrack.core.TimerQueue;
 
 /**
- * The one timer of a client's connection: at any time it bounds the head of a request, its body,
- * the wait for the next request, the write of a response, or the client's closing. Starting one
- * timeout ends the one before. Times are tenths of a millisecond. Runs on the event loop's thread
- * only.
+ * The one timer of a client's connection. At any time it bounds one of these: receiving the head of
+ * a request, receiving its body, the wait for the next request, the write of a response, or the
+ * wait for the client to close. Starting one timeout cancels the one before. Times are tenths of a
+ * millisecond. Runs on the event loop's thread only.
  *
- * <p>Incident: clients that were silent, sent single bytes or stopped after half a request held a
- * connection for 10 s or forever.
+ * <p>Without these timeouts, clients that are silent, send single bytes or stop after half a
+ * request would hold a connection for 10 s or forever.
  */
 final class ConnectionTimeouts {
   /** The longest time for a complete head, from connecting or from its first byte. */
@@ -18,8 +18,8 @@
 
   /**
    * The longest time for a complete head while the connection limit is reached and others wait.
-   * With 0.8 s, clients beside four times as many half heads as there were places were answered
-   * after their timeout.
+   * With 0.8 s, and four times as many clients with half a head as the connection limit, other
+   * clients received their responses after their timeout.
    */
   static final long HEAD_TIMEOUT_WHEN_FULL = HEAD_TIMEOUT / 10;
 
@@ -37,16 +37,17 @@
   private final Runnable onConnectionTimeout;
   private TimerQueue.Timer timer;
 
-  /** Changes with each start and cancellation, so that an expiry can tell that it is outdated. */
+  /** Incremented by each start and cancellation, so that an outdated expiry can be recognized. */
   private long generation;
 
   private boolean isIdleTimeout;
 
   /**
-   * Makes the timer; it does not run yet.
+   * Creates the timer; it does not run yet.
    *
    * @param onRequestTimeout run when a head or a body has not been received in time
-   * @param onConnectionTimeout run when the client was idle, stalled or did not close in time
+   * @param onConnectionTimeout run when the client was idle or stalled for too long, or did not
+   *     close in time
    */
   ConnectionTimeouts(EventLoop loop, Runnable onRequestTimeout, Runnable onConnectionTimeout) {
     this.loop = loop;
@@ -82,7 +83,7 @@
     timer = loop.schedule(LINGER_TIMEOUT, onConnectionTimeout);
   }
 
-  /** Starts the time until the client closes again, as it still sends bytes that are discarded. */
+  /** Restarts the timeout for the client to close, as it still sends bytes, which are discarded. */
   void extendClose() {
     startDeferred(LINGER_TIMEOUT, onConnectionTimeout);
   }
@@ -102,7 +103,7 @@
 
   /**
    * Starts a timeout for input. Its expiry takes effect in a later step, unless input that is
-   * handled before then has ended the timeout.
+   * handled before that step has cancelled the timeout.
    */
   private void startDeferred(long time, Runnable onExpiry) {
     cancel();
--- a/proxy/src/main/java/wheattrack/net/client/RequestBodyReader.java
+++ b/proxy/src/main/java/wheattrack/net/client/RequestBodyReader.java
@@ -7,24 +7,22 @@
 import wheattrack.http.RequestDecoder;
 
 /**
- * Reads what a client sends: the rest of a long body, one part for each request for one, and ahead
- * of that a bounded number of bytes, so that the client is seen to disconnect while its request is
- * open. Bytes read ahead are counted in the listener's budget. Runs on the event loop's thread
- * only.
- *
- * <p>Incident: clients that disconnected with bytes behind their request were not seen to do so.
+ * Reads from a client: the rest of a long body, one part for each call of {@link #requestPart}, and
+ * a limited number of bytes ahead of that. Without reading ahead, the disconnect of a client that
+ * has sent bytes after its request would not be detected while the request is open. Bytes read
+ * ahead are counted in the listener's budget. Runs on the event loop's thread only.
  */
 final class RequestBodyReader {
-  /** Bytes at most that are read ahead while a request is open, in general. */
+  /** The most bytes that are read ahead while a request is open, unless its body is long. */
   private static final int MAX_READ_AHEAD = 32 * 1024;
 
-  /** Bytes at most that are read ahead of a long body until its first part is requested. */
+  /** The most bytes that are read ahead of a long body until its first part is requested. */
   private static final int MAX_BODY_READ_AHEAD = 1 << 20;
 
-  /** Bytes of one read ahead, usually. */
+  /** The most bytes of one read ahead, unless the request's body is long. */
   private static final int READ_SIZE = 4 * 1024;
 
-  /** Bytes of one read ahead of a long body. */
+  /** The most bytes of one read ahead of a long body. */
   private static final int BODY_READ_SIZE = 16 * 1024;
 
   private final ClientConnection connection;
@@ -44,21 +42,21 @@
   private BodyPartConsumer consumer;
 
   /**
-   * The last part of a long body, kept until all other pending events are handled: the client's
-   * disconnect may be among them.
+   * The last part of a long body, held back until all other pending events are handled, as the
+   * client's disconnect may be among them; or null.
    */
   private ByteBuffer lastPart;
 
   /**
-   * The buffer of a read ahead, apart from the decoder's buffer, which is decoded meanwhile; or
-   * null.
+   * The buffer that is being read ahead into; it is separate from the decoder's buffer, which may
+   * be decoded during the read. Null: no read ahead is pending.
    */
   private ByteBuffer readAheadBuffer;
 
   /** Bytes that are counted in the budget as read ahead. */
   private int countedBytes;
 
-  /** Whether bytes that were read ahead had to be dropped. */
+  /** Whether bytes were dropped as too many had been read ahead. */
   private boolean hasDroppedBytes;
 
   RequestBodyReader(
@@ -74,7 +72,7 @@
     this.timeouts = timeouts;
   }
 
-  /** Counts the bytes of one read, and passes those that were read ahead to the decoder. */
+  /** Handles a completed read: counts its bytes, and passes those read ahead to the decoder. */
   void onRead(int count) {
     if (isInBody) {
       transferRate.received(loop.now(), count);
@@ -133,19 +131,19 @@
       return false;
     }
     if (!decoder.isStreamingBody()) {
-      return true; // beyond the bound its bytes are dropped
+      return true; // bytes above the limit are dropped
     }
     return !isBodyRequested
         && decoder.bufferedBytes() < MAX_BODY_READ_AHEAD
         && readAheadBudget.isAvailable();
   }
 
-  /** Whether the decoder's bytes may be decoded: no read fills its buffer. */
+  /** Whether the decoder's bytes may be decoded, that is, no pending read writes to its buffer. */
   boolean isDecoderAvailable() {
     return !connection.isReading() || readAheadBuffer != null;
   }
 
-  /** Whether what is still to come of the request cannot be read any more. */
+  /** Whether the rest of the client's bytes cannot be decoded any more. */
   boolean hasUnreadableBytes() {
     return decoder.isStreamingBody() || hasDroppedBytes;
   }
@@ -174,7 +172,7 @@
     timeouts.awaitBody(transferRate.remaining(loop.now()));
   }
 
-  /** The request has its complete response, and the connection serves on. */
+  /** The complete response is written, and the connection stays open for another request. */
   void onResponseComplete() {
     isInBody = false;
   }
@@ -187,13 +185,13 @@
     timeouts.awaitBody(transferRate.remaining(loop.now()));
     if (lastPart != null) {
       loop.execute(this::deliverLastPart);
-    } else if (isDecoderAvailable()) { // else it comes with what that read brings
+    } else if (isDecoderAvailable()) { // else the part is delivered when the pending read completes
       deliverPart();
       readMore();
     }
   }
 
-  /** Withdraws the request for a part; bytes that were received are kept for the next request. */
+  /** Cancels the request for a part; bytes already received stay buffered for the next request. */
   void cancelRequest() {
     consumer = null;
     if (decoder.isStreamingBody() && !connection.isStreamingResponse()) {
@@ -224,7 +222,7 @@
   }
 
   private void deliverLastPart() {
-    if (lastPart != null && consumer != null) { // else it is not requested, or nothing is left
+    if (lastPart != null && consumer != null) { // else it is delivered already or not requested
       ByteBuffer part = lastPart;
       lastPart = null;
       deliver(part, true);
@@ -239,7 +237,9 @@
     receiver.accept(part, isLast);
   }
 
-  /** The connection is closed: nothing more is delivered, and its bytes leave the budget. */
+  /**
+   * The connection is closed: nothing more is delivered, and its bytes are released to the budget.
+   */
   void close() {
     readAheadBudget.add(-countedBytes);
     consumer = null;
--- a/proxy/src/main/java/wheattrack/net/request/InFlightRequest.java
+++ b/proxy/src/main/java/wheattrack/net/request/InFlightRequest.java
@@ -17,6 +17,12 @@
  * are tenths of a millisecond. Runs on the event loop's thread only.
  */
 final class InFlightRequest {
+  /**
+   * The time of the first attempt while none has started: later than any real time, and small
+   * enough that a deduplication window can be added to it without overflow.
+   */
+  private static final long NONE_STARTED = Long.MAX_VALUE / 2;
+
   private final ClientConnection client;
   private final ParsedRequest parsed;
   private final List<BackendAttempt> attempts = new ArrayList<>(2);
@@ -51,7 +57,7 @@
     return client;
   }
 
-  /** What the client asked for. */
+  /** The request as the client sent it. */
   ParsedRequest parsed() {
     return parsed;
   }
@@ -71,7 +77,7 @@
     return pending;
   }
 
-  /** The timer that answers the request if the policy fails to; null: not set yet. */
+  /** The timer that ends the request if the policy has not done so by then; null: not set yet. */
   TimerQueue.Timer deadlineGuard() {
     return deadlineGuard;
   }
@@ -101,8 +107,8 @@
   }
 
   /**
-   * Whether no decision is left to make: it is answered, its long answer has begun, or its client
-   * has disconnected.
+   * Whether the policy has nothing left to decide: the request has its final answer, the streaming
+   * of its response has begun, or its client has disconnected.
    */
   boolean isSettled() {
     return isSettled;
@@ -132,7 +138,7 @@
     return attempts.size();
   }
 
-  /** Whether a further attempt could not send the complete body any more. */
+  /** Whether a further attempt could no longer send the complete body. */
   boolean isBodyConsumed() {
     return body != null && !body.isRepeatable();
   }
@@ -170,22 +176,22 @@
     return false;
   }
 
-  /** The time from which on a new attempt must not start any more. */
+  /** The time from which on no new attempt may start. */
   long latestAttemptStart() {
     long endOfDeduplication = endOfDeduplication();
     return body == null ? Math.min(pending.deadline(), endOfDeduplication) : endOfDeduplication;
   }
 
   /**
-   * Until when backends recognize the request's idempotency key. The policy keeps to this when it
-   * decides, but the connection of an attempt may take its time after that.
+   * Until when backends recognize the request's idempotency key. The policy observes this limit
+   * when it sends an attempt, but the attempt may wait for a connection after that.
    */
   private long endOfDeduplication() {
     RequestClass requestClass = pending.requestClass();
     if (requestClass.idempotency() != Idempotency.IDEMPOTENT_WITH_KEY) {
       return Long.MAX_VALUE;
     }
-    long firstSent = Long.MAX_VALUE / 2;
+    long firstSent = NONE_STARTED;
     for (BackendAttempt attempt : attempts) {
       if (attempt.isStarted()) {
         firstSent = Math.min(firstSent, attempt.sentAt());
--- a/proxy/src/main/java/wheattrack/net/request/LoadProbe.java
+++ b/proxy/src/main/java/wheattrack/net/request/LoadProbe.java
@@ -10,8 +10,8 @@
 import wheattrack.net.settings.SettingsApplier;
 
 /**
- * A probe of a backend: asks for its load, or, where backends report none, for its health. Its
- * outcome reaches the policy in a step of its own. Runs on the event loop's thread only.
+ * A probe of a backend: requests its load, or its health if backends report no load. The policy
+ * receives the outcome in a separate step of the event loop. Runs on the event loop's thread only.
  */
 final class LoadProbe extends BackendAttempt {
   private final SettingsApplier settings;
@@ -36,11 +36,11 @@
   }
 
   @Override
-  protected void onEnd(AttemptOutcome finalOutcome, Response answer) {
+  protected void onEnd(AttemptOutcome finalOutcome, Response response) {
     loop()
         .defer(
             () -> {
-              loadReports.onProbeAnswer(backend(), answer);
+              loadReports.onProbeResponse(backend(), response);
               callback.ended(finalOutcome == AttemptOutcome.DONE, loop().now() - sentAt());
             });
   }
--- a/proxy/src/main/java/wheattrack/net/request/LoadReports.java
+++ b/proxy/src/main/java/wheattrack/net/request/LoadReports.java
@@ -12,13 +12,14 @@
 import wheattrack.net.backend.BackendConnectionPool;
 
 /**
- * Reads load reports from backends' answers and passes them to the policy. A report is a JSON
- * object of numbers: the body of a probe's answer, as the operators' protocol has it, or a header
- * of an answer to a request, which is this project's own extension and off unless a header is
- * named. A report that cannot be read is ignored. Runs on the event loop's thread only.
+ * Reads load reports from backends' responses and passes them to the policy. A report is a JSON
+ * object of numbers. It is the body of the response to a probe, as the operators' protocol defines
+ * it, or a header of the response to a request, which is an extension of this project and disabled
+ * unless a header is named. An invalid report is logged and ignored. Runs on the event loop's
+ * thread only.
  */
 final class LoadReports {
-  /** Bounds the text of a report, in characters. */
+  /** The longest text of a report, in characters; a longer one is ignored. */
   private static final int MAX_LENGTH = 1024;
 
   private final LoadBalancer loadBalancer;
@@ -27,7 +28,7 @@
   /**
    * Creates the reader.
    *
-   * @param header the header of answers to requests that holds a report; empty: none does
+   * @param header the header of responses to requests that holds a report; empty: none does
    */
   LoadReports(LoadBalancer loadBalancer, String header) {
     this.loadBalancer = loadBalancer;
@@ -35,24 +36,24 @@
   }
 
   /**
-   * An attempt of a request has received this answer.
+   * An attempt of a request has received this response.
    *
-   * @param answer the answer or its head; null: none came
+   * @param response the response or its head; null: none was received
    */
-  void onAnswer(BackendConnectionPool backend, Response answer) {
-    if (answer != null && !header.isEmpty()) {
-      report(backend, answer.headers().first(header));
+  void onResponse(BackendConnectionPool backend, Response response) {
+    if (response != null && !header.isEmpty()) {
+      report(backend, response.headers().first(header));
     }
   }
 
   /**
-   * A probe has received this answer.
+   * A probe has received this response.
    *
-   * @param answer the answer; null: none came
+   * @param response null: none was received
    */
-  void onProbeAnswer(BackendConnectionPool backend, Response answer) {
-    if (answer != null) {
-      report(backend, new String(answer.body(), StandardCharsets.UTF_8));
+  void onProbeResponse(BackendConnectionPool backend, Response response) {
+    if (response != null) {
+      report(backend, new String(response.body(), StandardCharsets.UTF_8));
     }
   }
 
@@ -64,7 +65,10 @@
       LoadReport report = LoadReport.of(new JsonObjectReader(Json.object(text)));
       loadBalancer.onLoadReport(backend.index(), report.inFlight(), report.queued());
     } catch (IOException | InvalidConfigurationException e) {
-      EventLog.detail("load report", backend.id(), () -> "can't be read: " + text);
+      EventLog.detail(
+          "load report ignored",
+          backend.id(),
+          () -> "expected a JSON object of numbers, got " + text);
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/net/request/RequestAttempt.java
+++ b/proxy/src/main/java/wheattrack/net/request/RequestAttempt.java
@@ -13,13 +13,14 @@
 import wheattrack.net.protocol.ProtocolMapping;
 
 /**
- * One attempt of a request. Its answer goes to the client at once if the request is still open; its
- * outcome reaches the policy in a step of its own. Runs on the event loop's thread only.
+ * One attempt of a request. Its response is sent to the client immediately if the request is still
+ * open. The policy receives its outcome in a separate step of the event loop. Times are tenths of a
+ * millisecond. Runs on the event loop's thread only.
  */
 final class RequestAttempt extends BackendAttempt {
   /**
-   * An answer of unknown length is buffered for the latency objective divided by this, counted from
-   * the request's arrival.
+   * A response of unknown length is buffered until the latency objective divided by this has passed
+   * since the request's arrival.
    */
   private static final long BUFFERING_DIVISOR = 2;
 
@@ -32,8 +33,8 @@
   /**
    * Creates an attempt that is sent now.
    *
-   * @param deadline until when the proxy waits for its answer; sent to the backend as the time that
-   *     is left
+   * @param deadline until when the proxy waits for its response; the time left until then is sent
+   *     to the backend
    */
   RequestAttempt(
       RequestHandler requestHandler,
@@ -73,22 +74,22 @@
   }
 
   /**
-   * With the first bytes of its answer the attempt is done for the policy, and the request for its
-   * deadline; the rest is only passed on.
+   * With the first bytes of a long response the policy counts the attempt as done, and the
+   * request's deadline no longer applies; the rest of the response is only forwarded.
    */
   @Override
-  protected ResponseBodyReceiver onStreamingAnswer(Response head) {
-    loadReports.onAnswer(backend(), head);
+  protected ResponseBodyReceiver onStreamingResponse(Response head) {
+    loadReports.onResponse(backend(), head);
     if (request.isSettled()) {
       deferStreamedOutcome();
       return null;
     }
-    Response answer = requestHandler.toClientAnswer(request, head);
+    Response clientHead = requestHandler.toClientResponse(request, head);
     EventLog.detail("dispatch", request.id(), this::describeStreaming);
     ResponseRelay relay =
         new ResponseRelay(
-            connection(), request.client(), answer.remainingBody(), this::onRelayEnded);
-    requestHandler.beginStreaming(request, answer, relay);
+            connection(), request.client(), clientHead.remainingBody(), this::onRelayEnded);
+    requestHandler.beginStreaming(request, clientHead, relay);
     deferStreamedOutcome();
     return relay;
   }
@@ -103,18 +104,19 @@
   }
 
   @Override
-  protected void onEnd(AttemptOutcome finalOutcome, Response answer) {
+  protected void onEnd(AttemptOutcome finalOutcome, Response response) {
     EventLog.detail("dispatch", request.id(), () -> describeEnd(finalOutcome));
     if (finalOutcome == AttemptOutcome.DONE && !request.isSettled()) {
       requestHandler.answer(
-          request, FinalAnswer.DONE, requestHandler.toClientAnswer(request, answer));
+          request, FinalAnswer.DONE, requestHandler.toClientResponse(request, response));
     }
-    loadReports.onAnswer(backend(), answer);
-    // Incident "bad clients": backends were blamed for requests that were at fault themselves.
+    loadReports.onResponse(backend(), response);
+    // A 4xx response is the fault of the request: counted as an error, it would raise the failure
+    // rate of a backend that works.
     boolean isClientError =
-        finalOutcome == AttemptOutcome.ERROR && ProtocolMapping.isClientError(answer);
+        finalOutcome == AttemptOutcome.ERROR && ProtocolMapping.isClientError(response);
     if (isClientError && !request.isSettled()) {
-      requestHandler.failWithClientError(request, answer.status());
+      requestHandler.failWithClientError(request, response.status());
     }
     AttemptOutcome reported = isClientError ? AttemptOutcome.DISCARDED : finalOutcome;
     loop().defer(() -> callback.ended(reported, loop().now() - sentAt(), request.isSettled()));
--- a/proxy/src/main/java/wheattrack/net/request/RequestBodyRelay.java
+++ b/proxy/src/main/java/wheattrack/net/request/RequestBodyRelay.java
@@ -6,10 +6,10 @@
 import wheattrack.net.client.ClientConnection;
 
 /**
- * Passes on the part of a long request body that is not buffered, read from the client only as fast
- * as a backend takes it. One backend after another may be the target until the first part has been
- * forwarded; from then on no other attempt can send the complete body. Runs on the event loop's
- * thread only.
+ * Forwards the part of a long request body that is not buffered. It is read from the client only as
+ * fast as a backend accepts it. The target may change from one backend to another until the first
+ * part has been forwarded; from then on no other attempt can send the complete body. Runs on the
+ * event loop's thread only.
  */
 final class RequestBodyRelay implements RequestBodySource {
   private final ClientConnection client;
@@ -55,7 +55,9 @@
     }
   }
 
-  /** Bytes received from the client that were not requested stay with the client's connection. */
+  /**
+   * Bytes that were received from the client but not requested remain in its connection's buffer.
+   */
   @Override
   public void detach(BackendConnection connection) {
     if (target == connection) {
--- a/proxy/src/main/java/wheattrack/net/request/RequestHandler.java
+++ b/proxy/src/main/java/wheattrack/net/request/RequestHandler.java
@@ -27,45 +27,56 @@
 import wheattrack.net.settings.SettingsApplier;
 
 /**
- * The life of requests from the client's side: accepts them and hands them to the policy, guards
- * their deadlines, notices clients that disconnect, and gives each request its one final answer.
+ * Handles requests from their receipt to their final answer: passes them to the policy, enforces
+ * their deadlines, handles the disconnect of clients, and gives each request its one final answer.
  * Times are tenths of a millisecond. Runs on the event loop's thread only, but for its creation
  * before the loop runs and for {@link #openRequests}.
  */
 public final class RequestHandler implements ClientListener.RequestReceiver {
   /**
-   * Part of a client's timeout, as a divisor, that is kept back so that the answer arrives before
-   * the client stops waiting.
+   * The deadline is earlier than the client's timeout by the timeout divided by this, so that the
+   * response arrives before the client stops waiting.
    */
-  private static final long ANSWER_MARGIN_DIVISOR = 200;
+  private static final long RESPONSE_MARGIN_DIVISOR = 200;
 
-  /** Least time kept back of a client's timeout. */
-  private static final long MIN_ANSWER_MARGIN = 10;
+  /** The least time between the deadline and the client's timeout. */
+  private static final long MIN_RESPONSE_MARGIN = 10;
 
-  /** Time that the policy has after a deadline until the request is answered without it. */
+  /**
+   * Time after a deadline that the policy has to end the request; after it, the request fails
+   * without the policy.
+   */
   private static final long DEADLINE_GRACE = 50;
 
+  /**
+   * Least time between the last deadline and the end of the process, which leaves time after the
+   * grace for writing the responses.
+   */
+  private static final long SHUTDOWN_MARGIN = 2 * DEADLINE_GRACE;
+
+  private static final long TICKS_PER_MILLISECOND = 10;
+
   private final EventLoop loop;
   private final RequestCounters counters;
   private final SettingsApplier settingsApplier;
   private final LoadBalancer loadBalancer;
   private final SlotTable<InFlightRequest> openRequests = new SlotTable<>();
 
-  /** Identifiers under which no further request is accepted now. */
+  /** Identifiers of open requests, and of those that may still run after a disconnect. */
   private final Set<String> reservedIds = new HashSet<>();
 
   private ClientListener listener;
 
-  /** When this process ends; requests are answered before. */
+  /** When this process ends; all requests have their final answer before that. */
   private long shutdownTime = Long.MAX_VALUE;
 
   /**
-   * Creates a handler together with its policy, which starts at once; {@link #setListener} must
-   * follow before the first request.
+   * Creates a handler together with its policy, which starts immediately; {@link #setListener} must
+   * be called before the first request.
    *
    * @param endpoints notifies the policy of the endpoint list from now on
    * @param seed of the policy's random numbers
-   * @param loadHeader header of backends' answers that holds a load report; empty: none does
+   * @param loadHeader header of backends' responses that holds a load report; empty: none does
    */
   public RequestHandler(
       EventLoop loop,
@@ -83,7 +94,7 @@
     endpoints.setLoadBalancer(loadBalancer);
   }
 
-  /** Sets the listener whose clients' requests come here. */
+  /** Sets the listener whose clients' requests this handler receives. */
   public void setListener(ClientListener clientListener) {
     listener = clientListener;
   }
@@ -92,8 +103,8 @@
    * Applies new settings, all in one step; open requests keep the class that they were accepted
    * with.
    *
-   * @param settings the configuration file's
-   * @param dynamicSettings the watched source's, which take precedence; null or empty: none
+   * @param settings those of the configuration file
+   * @param dynamicSettings those of the watched source, which take precedence; null or empty: none
    */
   public void applySettings(Settings settings, DynamicSettings dynamicSettings) {
     settingsApplier.apply(settings, dynamicSettings);
@@ -109,7 +120,7 @@
     loadBalancer.setOtherProcessPresent(isPresent);
   }
 
-  /** The number of open requests; to another thread a value that may be a moment old. */
+  /** The number of open requests; another thread may see a slightly outdated value. */
   public int openRequests() {
     return openRequests.size();
   }
@@ -143,10 +154,16 @@
     accept(new InFlightRequest(client, parsed));
   }
 
-  /** Incident "bad clients": copies of a request that was still open reached backends. */
+  /**
+   * Reserves a request's identifier. Without this, a client that repeats a request which is still
+   * open would have both copies sent to backends.
+   *
+   * @throws InvalidRequestException if the identifier is reserved already
+   */
   private void reserveId(String id) throws InvalidRequestException {
     if (!reservedIds.add(id)) {
-      throw new InvalidRequestException(StatusCode.CONFLICT, "a req of this id is open");
+      throw new InvalidRequestException(
+          StatusCode.CONFLICT, "a request with this Request-Id is open");
     }
   }
 
@@ -180,17 +197,17 @@
     }
     request.setHandle(loadBalancer.accept(pending));
     if (hasLongBody && !request.isSettled()) {
-      request.handle().streamingStarted(0); // no second attempt could send its body
+      request.handle().streamingStarted(0); // only its first attempt can send the body
     }
   }
 
   private long deadline(long clientTimeout) {
-    long margin = Math.max(MIN_ANSWER_MARGIN, clientTimeout / ANSWER_MARGIN_DIVISOR);
+    long margin = Math.max(MIN_RESPONSE_MARGIN, clientTimeout / RESPONSE_MARGIN_DIVISOR);
     return Math.min(loop.now() + clientTimeout - margin, latestDeadline());
   }
 
   private long latestDeadline() {
-    return shutdownTime - 2 * DEADLINE_GRACE;
+    return shutdownTime - SHUTDOWN_MARGIN;
   }
 
   private void startDeadlineGuard(InFlightRequest request) {
@@ -198,7 +215,7 @@
     request.setDeadlineGuard(loop.schedule(delay, () -> onDeadlineMissed(request)));
   }
 
-  /** Only a bug leaves a request open past its deadline; it is answered even then. */
+  /** Only a bug leaves a request open past its deadline; the request fails even then. */
   private void onDeadlineMissed(InFlightRequest request) {
     EventLog.log(Level.SEVERE, "a req stood open past its due", request.id(), null);
     request.abandonAttempts(AttemptOutcome.TIMEOUT);
@@ -215,7 +232,7 @@
     request.pending().restartClock(loop.now(), latestDeadline());
     startDeadlineGuard(request);
     BackendAttempt attempt = request.latestAttempt();
-    if (attempt != null) { // else backends are still being probed for their load
+    if (attempt != null) { // null while backends are still being probed for their load
       attempt.setTimeout(request.pending().deadline() - loop.now());
     }
   }
@@ -228,7 +245,7 @@
     settle(request);
     openRequests.remove(request.slot());
     if (request.body() != null && !request.body().isComplete()) {
-      request.discardAttempts(); // the rest of the body will never come
+      request.discardAttempts(); // the rest of the body will not be received
     }
     releaseIdOfDisconnected(request);
     if (request.handle() != null) {
@@ -237,8 +254,10 @@
   }
 
   /**
-   * A client that has disconnected may send its request again under the same identifier. It must
-   * not run at the same time as the first one, unless it is idempotent.
+   * Releases the identifier of a request whose client has disconnected. The client may send the
+   * request again under the same identifier, but unless it is idempotent, the second one must not
+   * run at the same time as the first. If that may still run, the identifier is released at its
+   * deadline.
    */
   private void releaseIdOfDisconnected(InFlightRequest request) {
     boolean isIdempotent = request.parsed().requestClass().idempotency() == Idempotency.IDEMPOTENT;
@@ -275,16 +294,16 @@
     answer(request, FinalAnswer.REJECTED, response);
   }
 
-  /** Answers that an open request has failed, with no promise about its effects. */
+  /** Fails an open request; a backend may have executed it or not. */
   void fail(InFlightRequest request) {
     boolean isPastDeadline = loop.now() >= request.pending().deadline();
     int status = isPastDeadline ? StatusCode.GATEWAY_TIMEOUT : StatusCode.BAD_GATEWAY;
-    failWith(request, status, "given up");
+    failWith(request, status, "no usable response from a backend");
   }
 
-  /** Answers that a backend found an open request itself at fault. */
+  /** Fails an open request with the client error (4xx) with which a backend responded. */
   void failWithClientError(InFlightRequest request, int status) {
-    failWith(request, status, "not taken by the backend");
+    failWith(request, status, "a backend responded with this status");
   }
 
   private void failWith(InFlightRequest request, int status, String text) {
@@ -292,24 +311,25 @@
     answer(request, FinalAnswer.FAILED, response);
   }
 
-  /** A backend's answer as the client of this request receives it. */
-  Response toClientAnswer(InFlightRequest request, Response backendAnswer) {
+  /** A backend's response as the client of this request receives it. */
+  Response toClientResponse(InFlightRequest request, Response backendResponse) {
     return ProtocolMapping.forwardedAnswer(
-        backendAnswer, mayKeepAlive(request), request.parsed().message().acceptsChunks());
+        backendResponse, mayKeepAlive(request), request.parsed().message().acceptsChunks());
   }
 
   /**
-   * Begins the long answer to an open request; {@link #endStreaming} must follow once.
+   * Begins the long response to an open request; {@link #endStreaming} must be called once after
+   * that.
    *
-   * @param head the head and the first bytes of the answer
-   * @param relay brings the rest
+   * @param head the head and the first bytes of the response
+   * @param relay forwards the rest
    */
   void beginStreaming(InFlightRequest request, Response head, ResponseRelay relay) {
     settle(request);
     request.client().sendStreamedResponse(head, relay);
   }
 
-  /** A long answer has ended; it counts as failed unless it was passed on completely. */
+  /** A long response has ended; its request counts as failed unless it was forwarded completely. */
   void endStreaming(InFlightRequest request, boolean complete) {
     remove(request);
     FinalAnswer kind = complete ? FinalAnswer.DONE : FinalAnswer.FAILED;
@@ -341,7 +361,7 @@
   }
 
   private String describeEnd(InFlightRequest request, String end) {
-    long millis = (loop.now() - request.pending().arrivedAt()) / 10;
+    long millis = (loop.now() - request.pending().arrivedAt()) / TICKS_PER_MILLISECOND;
     return end + " after " + millis + " ms, " + request.attemptCount() + " dispatches";
   }
 }
--- a/proxy/src/main/java/wheattrack/net/request/ResponseRelay.java
+++ b/proxy/src/main/java/wheattrack/net/request/ResponseRelay.java
@@ -9,8 +9,8 @@
 import wheattrack.net.client.StreamedResponse;
 
 /**
- * Passes a long answer on from a backend to a client, one part at a time. It ends once, whether the
- * answer was passed on completely or not. Runs on the event loop's thread only.
+ * Forwards a long response from a backend to a client, one part at a time. It ends exactly once,
+ * whether the response was forwarded completely or not. Runs on the event loop's thread only.
  */
 final class ResponseRelay implements StreamedResponse, ResponseBodyReceiver {
   /** Notified once, when a relay ends. */
@@ -19,7 +19,7 @@
     /**
      * The relay has ended.
      *
-     * @param complete whether the client has received the complete answer
+     * @param complete whether the complete response was written to the client
      */
     void onEnd(boolean complete);
   }
@@ -34,7 +34,7 @@
   /**
    * Creates a relay between two connections.
    *
-   * @param remainingBody the framing of the rest for the client, as in the answer's head
+   * @param remainingBody the framing of the rest for the client, as in the response's head
    */
   ResponseRelay(
       BackendConnection source,
@@ -47,9 +47,9 @@
     this.listener = listener;
   }
 
-  /** Asks the backend for the next part, unless the last one has been sent. */
+  /** Requests the next part from the backend, unless the last one has been sent. */
   @Override
-  public boolean onClientDrained() {
+  public boolean onPartsWritten() {
     if (lastPartForwarded) {
       end(true);
     } else {
@@ -58,7 +58,7 @@
     return lastPartForwarded;
   }
 
-  /** Forwards a part to the client; the next is asked for once this one has been sent. */
+  /** Forwards a part to the client; the next is requested once this one has been sent. */
   @Override
   public void forward(ByteBuffer bytes, boolean isLast) {
     if (!hasEnded) {
@@ -67,7 +67,7 @@
     }
   }
 
-  /** The backend's connection is closed: the client must see that its answer is incomplete. */
+  /** Closes the client's connection, which shows the client that the response is incomplete. */
   @Override
   public void onBackendClosed() {
     if (!hasEnded && !lastPartForwarded) {
@@ -81,7 +81,7 @@
   public void onClientClosed() {
     if (!hasEnded) {
       end(false);
-      if (!lastPartForwarded) { // else the connection may carry another attempt by now
+      if (!lastPartForwarded) { // after the last part, source may already carry another attempt
         source.close();
       }
     }
--- a/proxy/src/main/java/wheattrack/net/request/SocketPolicyRuntime.java
+++ b/proxy/src/main/java/wheattrack/net/request/SocketPolicyRuntime.java
@@ -13,10 +13,11 @@
 import wheattrack.net.settings.SettingsApplier;
 
 /**
- * The policy's runtime on sockets: the event loop's clock and timers, attempts and probes on
- * connections to backends, reports in the log. It decides nothing. Each outcome reaches the policy
- * in a step of its own, never within the call that caused it. Runs on the event loop's thread only,
- * but for the start of the policy before the loop runs.
+ * The policy's runtime on sockets: provides the event loop's clock and timers, sends attempts and
+ * probes over connections to backends, and writes the policy's events to the log. It makes no
+ * decisions. The policy receives each outcome in a separate step of the event loop, never within
+ * the call that caused it. Runs on the event loop's thread only, except for the start of the
+ * policy, before the loop runs.
  */
 final class SocketPolicyRuntime implements PolicyRuntime {
   private final EventLoop loop;
@@ -26,7 +27,7 @@
   private LoadReports loadReports;
 
   /**
-   * Creates a runtime; {@link #setLoadReports} must follow before the loop runs.
+   * Creates a runtime; {@link #setLoadReports} must be called before the loop runs.
    *
    * @param requestHandler performs the final answers that the policy decides on
    */
@@ -41,7 +42,9 @@
     this.settings = settings;
   }
 
-  /** Sets what passes load reports to the policy, which is created after its runtime. */
+  /**
+   * Sets the reader of load reports, which needs the policy and so is created after the runtime.
+   */
   void setLoadReports(LoadReports reports) {
     loadReports = reports;
   }
@@ -51,7 +54,7 @@
     return loop.now();
   }
 
-  /** A task never runs within the call that schedules it: other pending steps run first. */
+  /** The task never runs within this call: other pending steps run first. */
   @Override
   public void schedule(long delay, Runnable task) {
     loop.schedule(Math.max(1, delay), task);
--- a/proxy/src/test/java/wheattrack/net/ConcurrentEventsTest.java
+++ b/proxy/src/test/java/wheattrack/net/ConcurrentEventsTest.java
@@ -215,7 +215,7 @@
     assertEquals(requestId(text), readRequest(first));
     client.close();
     await("the disconnect is seen", () -> metric("in_flight") == 0);
-    assertEquals("409 a req of this id is open", call(text));
+    assertEquals("409 a request with this Request-Id is open", call(text));
     assertEquals(1, metric("attempts"));
     writeAnswer(first, "200", "", "late");
   }
--- a/proxy/src/test/java/wheattrack/net/client/ClientEvictionTest.java
+++ b/proxy/src/test/java/wheattrack/net/client/ClientEvictionTest.java
@@ -29,31 +29,32 @@
 import wheattrack.net.protocol.ProtocolMapping;
 
 /**
- * Which clients lose their connection while more are connected than allowed, or at a shutdown.
+ * Tests which clients lose their connection while more are connected than allowed, or at a
+ * shutdown.
  *
- * <p>What happened: beside a crowd of idle clients, or of clients with half a head, the first
- * requests on new connections were closed with no answer. Why, as the cases here force it: a client
- * that was accepted into the last place was the only one that might be evicted, and was closed
- * before its request had arrived; of clients that had just connected, the one that had come first
- * was closed, although it sent its request at once; and a request that the channel group's thread
- * had read, but the loop's thread had not seen yet, was closed with its connection. What showed it:
- * the client reads the end of the stream some milliseconds after its request was written, where a
- * request that nobody has read ends in a reset; the log line "client closed unanswered", metric
- * {@code client_reads_dropped}.
+ * <p>Guards against new connections that are closed without a response to their first request,
+ * beside many idle clients or clients with half a head. This comes about in three ways: a client
+ * that is accepted above the limit is the only one that may be evicted, and is closed before its
+ * request is received; of clients that have just connected, the first one is closed, although it
+ * sends its request immediately; or a request is closed with its connection after the channel
+ * group's thread has read it and before the loop's thread handles it. In the last case the client
+ * reads the end of the stream some milliseconds after it wrote its request, whereas a request that
+ * was not read ends in a reset; the log line "client closed unanswered" and the metric {@code
+ * client_reads_dropped} count it.
  */
 class ClientEvictionTest {
   private static final int MAX_CLIENTS = 4;
 
-  /** A request arrives this long after its connection, on a client that is busy. */
+  /** The time from a client's connecting until it sends its request, as on a busy machine. */
   private static final int CLIENT_DELAY_MILLIS = 30;
 
-  /** By then bytes sent over loopback have arrived. */
+  /** Bytes sent over loopback are received within this time. */
   private static final int ARRIVAL_MILLIS = 200;
 
-  /** From then on a client that has sent nothing counts as idle. */
+  /** A client that has sent nothing for this long after connecting counts as idle. */
   private static final int IDLE_MILLIS = 400;
 
-  /** A client is accepted and served within this time, the accepting step's failure or not. */
+  /** A client is accepted and served within this time, even after a failed accepting step. */
   private static final int ACCEPT_MILLIS = 1000;
 
   private static final int TIMEOUT_MILLIS = 3000;
@@ -68,7 +69,7 @@
   private final ClientListener listener =
       new ClientListener(loop, lifecycle, MAX_CLIENTS, 1 << 20, new ImmediateResponder(), () -> "");
 
-  /** Answers each request at once. */
+  /** Responds to each request immediately. */
   private static final class ImmediateResponder implements ClientListener.RequestReceiver {
     @Override
     public void onRequest(ClientConnection client, Request request) {
@@ -113,7 +114,7 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
   }
 
-  /** The first line of the answer, "end" at the end of the stream, or "reset". */
+  /** The first line of the response, "end" at the end of the stream, or "reset". */
   private static String readOutcome(Socket socket) throws IOException {
     try {
       StringBuilder line = new StringBuilder();
@@ -134,10 +135,10 @@
     assertEquals(SERVED, readOutcome(socket));
   }
 
-  /** Silent clients, or half heads, hold all places; a further client is accepted into the last. */
+  /** The limit is reached by silent clients, or by half heads; a further client is accepted. */
   @ParameterizedTest
   @ValueSource(strings = {"", "GET /"})
-  void clientInTheLastPlaceIsServed(String startOfHead) throws Exception {
+  void clientAcceptedAboveTheLimitIsServed(String startOfHead) throws Exception {
     for (int i = 0; i < MAX_CLIENTS; i++) {
       send(connect(), startOfHead);
     }
@@ -145,9 +146,9 @@
     assertServedAfterDelay(connect());
   }
 
-  /** A client connects a moment before silent clients that are more than there are places. */
+  /** A client connects just before more silent clients than the limit. */
   @Test
-  void clientOutlivesSilentOnesThatConnectAfterIt() throws Exception {
+  void clientIsNotEvictedForSilentClientsThatConnectAfterIt() throws Exception {
     Socket client = connect();
     for (int i = 0; i < 2 * MAX_CLIENTS; i++) {
       connect();
@@ -156,8 +157,8 @@
   }
 
   /**
-   * A request arrives in the very step that closes idle connections: it is answered, or was not
-   * read, which the client sees by a reset.
+   * A request is received during the step that closes idle connections: it gets a response, or it
+   * is not read and the connection is reset.
    */
   @Test
   void requestIsNotReadByAConnectionThatIsClosed() throws Exception {
@@ -179,8 +180,9 @@
   }
 
   /**
-   * A log handler that fails stands for any exception in the step that accepts a client. Accepting
-   * stopped until the next connection closed, for up to 2.4 s.
+   * A log handler that fails simulates any exception in the step that accepts a client. Guards
+   * against such an exception stopping the accepting until the next connection closes, for up to
+   * 2.4 s.
    */
   @Test
   void failedStepDoesNotStopAccepting() throws Exception {
@@ -199,7 +201,7 @@
       LOG.removeHandler(failure);
       LOG.setLevel(levelBefore);
     }
-    assertTrue(failure.hasFailed, "the step that accepts has failed");
+    assertTrue(failure.hasFailed, "expected the step that accepts a client to fail");
     Socket client = connect();
     client.setSoTimeout(ACCEPT_MILLIS);
     assertServedAfterDelay(client);
