--- a/proxy/src/main/java/wheattrack/net/backend/BackendAttempt.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendAttempt.java
@@ -7,11 +7,17 @@
 import wheattrack.http.Response;
 
 /**
- * One exchange with a backend, an attempt of a request or a probe, from the time it is sent until
- * its one outcome. It waits in its backend's pool until a connection carries it. Times are tenths
- * of a millisecond. Runs on the event loop's thread only.
+ * One exchange with a backend, either an attempt of a request or a probe, from the time it is sent
+ * until its one outcome. It waits in its backend's pool until a connection is assigned to it. Times
+ * are tenths of a millisecond. Runs on the event loop's thread only.
  */
 public abstract class BackendAttempt {
+  /**
+   * A buffering time without a practical limit, small enough that it can be added to a time without
+   * overflow.
+   */
+  private static final long UNLIMITED_BUFFERING_TIME = Long.MAX_VALUE / 4;
+
   private final BackendConnectionPool backend;
   private final long sentAt;
   private long startedAt;
@@ -37,12 +43,12 @@
     return backend.loop;
   }
 
-  /** When it was sent; it may have waited for a connection from then on. */
+  /** When it was sent; after that it may have waited for a connection. */
   public final long sentAt() {
     return sentAt;
   }
 
-  /** When a connection began to carry it, that is when its first byte left. */
+  /** When a connection began to carry it, that is, when the write of its first byte began. */
   protected final long startedAt() {
     return startedAt;
   }
@@ -52,12 +58,12 @@
     return connection;
   }
 
-  /** The time from which on it must not start any more. */
+  /** The time from which on it must not be started. */
   final long latestStart() {
     return latestStart;
   }
 
-  /** Sets the time from which on it must not start any more; without this it may always start. */
+  /** Sets the time from which on it must not be started; by default there is no limit. */
   public final void setLatestStart(long time) {
     latestStart = time;
   }
@@ -76,7 +82,7 @@
     startedAt = loop().now();
   }
 
-  /** Whether any of its bytes may have left. */
+  /** Whether any of its bytes may have been sent. */
   public final boolean isStarted() {
     return connection != null;
   }
@@ -94,9 +100,9 @@
   /**
    * Ends it; further calls do nothing. A connection that still carries it is closed.
    *
-   * @param answer the complete answer; null: none came
+   * @param response the complete response; null: none was received
    */
-  public final void end(AttemptOutcome finalOutcome, Response answer) {
+  public final void end(AttemptOutcome finalOutcome, Response response) {
     if (hasEnded) {
       return;
     }
@@ -109,15 +115,15 @@
     } else {
       backend.removeWaiting(this);
     }
-    onEnd(finalOutcome, answer);
+    onEnd(finalOutcome, response);
   }
 
   /**
-   * Its answer is too long to be buffered. It ends here as far as its outcome goes, while its
-   * connection goes on with the rest of the answer.
+   * Its response is too long to be buffered: its outcome is decided now, while its connection
+   * continues to read the rest of the response.
    *
-   * @param head the head and the first bytes of the answer
-   * @return receives the rest of the answer; null: it is not wanted
+   * @param head the head and the first bytes of the response
+   * @return receives the rest of the response; null: the connection must be closed instead
    */
   final ResponseBodyReceiver beginStreaming(Response head) {
     if (hasEnded) {
@@ -132,7 +138,7 @@
     return receiver;
   }
 
-  /** The rest of the long answer has been passed on, completely or not. */
+  /** The rest of the long response has been forwarded, completely or not. */
   protected final void streamingEnded() {
     backend.attemptEnded();
   }
@@ -141,11 +147,11 @@
   protected abstract Request buildRequest();
 
   /**
-   * How much longer an answer of unknown length may be buffered, so that another backend can be
-   * asked if the connection breaks.
+   * How much longer a response of unknown length may be buffered. While it is buffered, another
+   * attempt can be sent if the connection breaks.
    */
   protected long remainingBufferingTime() {
-    return Long.MAX_VALUE / 4;
+    return UNLIMITED_BUFFERING_TIME;
   }
 
   /** Provides the part of the request's body that is not in the message; null: there is none. */
@@ -154,8 +160,8 @@
   }
 
   /**
-   * See {@link #beginStreaming}. By default long answers are not accepted: the attempt ends as if
-   * its connection broke.
+   * See {@link #beginStreaming}. By default long responses are not accepted: the attempt ends as if
+   * its connection had broken.
    */
   protected ResponseBodyReceiver onStreamingResponse(Response head) {
     onEnd(AttemptOutcome.RESET, null);
@@ -164,13 +170,13 @@
 
   /** The last byte of the request has been written. */
   protected void onRequestWritten() {
-    // probes are not counted
+    // only attempts of requests are counted, not probes
   }
 
   /**
    * The attempt has ended; called once.
    *
-   * @param answer the complete answer; null: none came
+   * @param response the complete response; null: none was received
    */
-  protected abstract void onEnd(AttemptOutcome finalOutcome, Response answer);
+  protected abstract void onEnd(AttemptOutcome finalOutcome, Response response);
 }
--- a/proxy/src/main/java/wheattrack/net/backend/BackendConnection.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendConnection.java
@@ -20,8 +20,8 @@
  */
 public final class BackendConnection extends TcpConnection {
   /**
-   * How long a long response may pause at the backend, and a long body on the way there; tenths of
-   * a millisecond.
+   * How long the sending of a long response by the backend, or of a long request body to it, may
+   * pause; tenths of a millisecond.
    */
   public static final long STALL_TIMEOUT = 100_000;
 
@@ -30,7 +30,7 @@
     CONNECTING,
     /** It carries an attempt, or delivers the rest of a long response. */
     IN_USE,
-    /** It carries nothing and is idle in its pool. */
+    /** It carries no attempt, and waits in its pool for one. */
     IDLE,
     /** It is closed. */
     CLOSED
@@ -62,7 +62,7 @@
   private boolean isReusable;
 
   /** Whether a response of unknown length is being buffered, as it may be a short one. */
-  private boolean isHoldingResponse;
+  private boolean isBufferingResponse;
 
   /** Whether the connection broke while the request was being written. */
   private boolean isBroken;
@@ -77,8 +77,8 @@
   private TimerQueue.Timer timer;
 
   /**
-   * Registers itself with the connector, which bounds the number; {@link #startConnecting} must
-   * follow.
+   * Registers itself with the connector, which limits the number of connections; {@link
+   * #startConnecting} must be called after that.
    */
   BackendConnection(
       BackendConnectionPool pool, AsynchronousSocketChannel channel, Connector connector) {
@@ -108,7 +108,7 @@
 
   // ---- connecting
 
-  /** Connects; the pool is notified of success or failure, at the latest after this time. */
+  /** Connects; the pool is notified of success, or of failure, at the latest after the timeout. */
   void startConnecting(long timeout) {
     timer = loop.schedule(timeout, this::onConnectFailed);
     connect(remoteAddress, this::onConnected, this::onConnectFailed);
@@ -131,7 +131,7 @@
 
   // ---- idle
 
-  /** Whether it carries nothing and stands in its pool. */
+  /** Whether it carries no attempt, and waits in its pool for one. */
   boolean isIdle() {
     return state == State.IDLE;
   }
@@ -147,15 +147,18 @@
   }
 
   /**
-   * Whether it has been idle for so long that it should be closed by now, and its backend may have
-   * done so.
+   * Whether it has been idle for longer than the idle timeout, so that its backend may have closed
+   * it.
    */
   boolean hasExceededIdleTimeout() {
     return connector.idleTimeout() > 0 && loop.now() - idleSince >= connector.idleTimeout();
   }
 
   /**
-   * Becomes idle, and usable after the quarantine; it is closed well before its backend does so.
+   * Becomes idle, and usable after the quarantine. It is closed after the idle timeout, before its
+   * backend closes it.
+   *
+   * @param quarantine tenths of a millisecond until it may carry an attempt
    */
   void becomeIdle(long quarantine) {
     state = State.IDLE;
@@ -164,7 +167,7 @@
     restartIdleTimeout();
   }
 
-  /** Restarts its idle timeout with the value that is in force now. */
+  /** Restarts its idle timeout with the value now set in the connector. */
   void restartIdleTimeout() {
     loop.cancel(timer);
     if (connector.idleTimeout() > 0) {
@@ -174,7 +177,7 @@
 
   // ---- the request
 
-  /** Sends the attempt's request, and gives the attempt its response or its failure. */
+  /** Sends the attempt's request; the attempt ends with the response or with a failure. */
   void send(BackendAttempt attempt) {
     loop.cancel(timer);
     state = State.IN_USE;
@@ -244,9 +247,9 @@
         onResponse(response);
         return;
       }
-      if (decoder.isOpenEnded() && !isHoldingResponse) {
-        isHoldingResponse = true;
-        timer = loop.schedule(currentAttempt.remainingBufferingTime(), this::onHoldExpired);
+      if (decoder.isOpenEnded() && !isBufferingResponse) {
+        isBufferingResponse = true;
+        timer = loop.schedule(currentAttempt.remainingBufferingTime(), this::onBufferingExpired);
       }
       read(decoder.writableBuffer());
     } catch (MalformedMessageException e) {
@@ -255,17 +258,17 @@
   }
 
   /**
-   * A response of unknown length has not ended within its buffering time: it may be a long one,
-   * which counts as answered with its first bytes.
+   * A response of unknown length has not ended within its buffering time: it is handled as a long
+   * one, which counts as received with its first bytes.
    */
-  private void onHoldExpired() {
-    if (isHoldingResponse && currentAttempt != null && decoder.isOpenEnded()) {
+  private void onBufferingExpired() {
+    if (isBufferingResponse && currentAttempt != null && decoder.isOpenEnded()) {
       onResponse(decoder.nextWithPartialBody());
     }
   }
 
   private void onResponse(Response response) {
-    isHoldingResponse = false;
+    isBufferingResponse = false;
     loop.cancel(timer);
     isReusable = response.keepAlive() && !isWriting() && bodySource == null;
     BackendAttempt attempt = currentAttempt;
@@ -283,10 +286,10 @@
     attempt.end(ProtocolMapping.attemptOutcome(response), response);
   }
 
-  /** Delivers the next part of a long response, as the client has taken the one before. */
+  /** Delivers the next part of a long response; called when the one before has been forwarded. */
   public void deliverNextPart() {
     if (isReading() || isClosed()) {
-      return; // the pending read completes first
+      return; // a pending read delivers the part when it completes
     }
     try {
       ByteBuffer part = decoder.nextBodyPart();
@@ -308,9 +311,7 @@
     }
   }
 
-  /**
-   * Its response is complete: it returns to its pool if it may be used again, else it is closed.
-   */
+  /** After a complete response, returns to its pool if it may be used again; else it is closed. */
   private void releaseOrClose() {
     if (isReusable && !decoder.isMidMessage()) {
       read(decoder.writableBuffer());
@@ -320,12 +321,12 @@
     }
   }
 
-  // ---- its end
+  // ---- closing
 
   /**
-   * The connection broke, or the backend sent no valid response. Incident with disconnected
-   * backends: a break during the write of the request does not tell whether the request was sent
-   * completely; the completion of the write does.
+   * The connection broke, or the backend sent no valid response. If it broke during the write of
+   * the request, the outcome waits for the completion of the write, as only that tells whether the
+   * request was sent completely: a request sent only in part never ran.
    */
   private void onBreak() {
     if (currentAttempt != null && isWriting()) {
@@ -361,7 +362,7 @@
     loop.cancel(timer);
     connector.onClosed(slot);
     pool.onClosed(this);
-    if (bodySource != null) { // it stays: the outcome depends on whether all of it was written
+    if (bodySource != null) { // not set to null: a pending write's outcome depends on it
       bodySource.detach(this);
     }
     if (responseReceiver != null) {
--- a/proxy/src/main/java/wheattrack/net/backend/BackendConnectionPool.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendConnectionPool.java
@@ -55,8 +55,8 @@
   // ---- the backend's state in the endpoint list
 
   /**
-   * The backend is listed as serving at this address. Idle and opening connections to another
-   * address, or to an earlier incarnation of the backend, are closed.
+   * The backend is listed as serving at this address. Idle connections and those being opened are
+   * closed if they lead to another address or to an earlier incarnation of the backend.
    *
    * @param startedAt when the backend started, in tenths of a millisecond
    */
@@ -77,11 +77,12 @@
   }
 
   /**
-   * Whether the backend that started then is known to be draining or removed.
+   * Whether the incarnation of the backend that started at this time is known to be draining or
+   * removed.
    *
    * @param startedAt in tenths of a millisecond
    */
-  public boolean hasLeftSince(long startedAt) {
+  public boolean hasStoppedServing(long startedAt) {
     return !isServing && startedAt <= this.startedAt;
   }
 
@@ -94,7 +95,7 @@
     closeIdleConnections();
   }
 
-  /** Closes the connections that carry nothing now. */
+  /** Closes the idle connections. */
   public void closeIdleConnections() {
     List.copyOf(idle).forEach(BackendConnection::close);
   }
@@ -111,7 +112,7 @@
     assignConnections();
   }
 
-  /** The attempt has ended: it waits no longer. */
+  /** Removes an attempt that has ended from those that wait. */
   void removeWaiting(BackendAttempt attempt) {
     waiting.remove(attempt);
   }
@@ -119,7 +120,7 @@
   /** Takes the attempt that waits longest and may still start, or null. */
   private BackendAttempt pollWaiting() {
     BackendAttempt attempt = waiting.pollFirst();
-    // Incident: after a standstill of the process, requests were sent after their deadline.
+    // After a pause of the process, attempts may be due that are past their deadline by now.
     while (attempt != null && loop.now() >= attempt.latestStart()) {
       attempt.abandon(AttemptOutcome.DISCARDED);
       attempt = waiting.pollFirst();
@@ -130,8 +131,9 @@
   // ---- assignment of connections to attempts
 
   /**
-   * Finds connections for the waiting attempts: idle ones, in a later step, so that a pending end
-   * of one is handled first; ones in quarantine, as soon as that is over; or new ones.
+   * Finds connections for the waiting attempts: idle ones, in a later step, so that the pending
+   * close of one by its backend is handled first; ones in quarantine, as soon as that is over; or
+   * new ones.
    */
   private void assignConnections() {
     if (waiting.isEmpty() || isAssignmentScheduled) {
@@ -169,9 +171,7 @@
     assignConnections();
   }
 
-  /**
-   * The usable connection used last, or null. Those that should have been closed by now are closed.
-   */
+  /** The usable connection used last, or null. Closes those that have exceeded the idle timeout. */
   private BackendConnection usableConnection() {
     for (int i = idle.size() - 1; i >= 0; i--) {
       BackendConnection connection = idle.get(i);
@@ -192,12 +192,16 @@
     }
   }
 
-  /** Starts to connect, or discards the attempt in a later step if that is not possible. */
+  /**
+   * Starts to connect; if that is not possible, discards the attempt in a later step.
+   *
+   * @return whether connecting has started
+   */
   private boolean connectFor(BackendAttempt attempt) {
     try {
       connecting.add(connector.connect(this));
       return true;
-    } catch (IOException e) { // no descriptor is left: the policy may send the attempt elsewhere
+    } catch (IOException e) { // no descriptor or the limit: the policy may use another backend
       loop.defer(
           () -> {
             attempt.abandon(AttemptOutcome.DISCARDED);
@@ -207,7 +211,7 @@
     }
   }
 
-  // ---- what becomes of connections
+  // ---- notifications from connections
 
   /** The connection is open. */
   void onConnected(BackendConnection connection) {
@@ -221,7 +225,7 @@
     }
   }
 
-  /** The connection could not be opened in time or at all. */
+  /** Connecting has failed or timed out. */
   void onConnectFailed(BackendConnection connection) {
     if (connecting.remove(connection) && waiting.size() > connecting.size()) {
       if (idle.isEmpty()) {
@@ -233,8 +237,8 @@
   }
 
   /**
-   * The response on this connection is complete. The connection is in quarantine for a while: a
-   * surplus response may follow, which was once taken for the response to the next request.
+   * The response on this connection is complete. The connection is first in quarantine: a surplus
+   * response may follow, which would be taken for the response to the next request.
    */
   void release(BackendConnection connection) {
     addIdle(connection, connector.quarantineTime());
--- a/proxy/src/main/java/wheattrack/net/backend/BackendTimeouts.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendTimeouts.java
@@ -3,7 +3,7 @@
 import wheattrack.config.Settings;
 
 /**
- * Limits on the time of connections to backends, in tenths of a millisecond.
+ * Timeouts of connections to backends, in tenths of a millisecond.
  *
  * @param connect how long connecting may take
  * @param idleClose time after which a backend closes an idle connection; 0: never
@@ -11,7 +11,7 @@
 public record BackendTimeouts(long connect, long idleClose) {
   private static final long DEFAULT_CONNECT_MICROS = 250_000;
 
-  /** The limits that these settings name. */
+  /** The timeouts that these settings contain, or their defaults. */
   public static BackendTimeouts of(Settings settings) {
     return new BackendTimeouts(
         settings.time("limits.dialTimeout", DEFAULT_CONNECT_MICROS),
--- a/proxy/src/main/java/wheattrack/net/backend/Connector.java
+++ b/proxy/src/main/java/wheattrack/net/backend/Connector.java
@@ -9,18 +9,19 @@
 import wheattrack.core.SlotTable;
 
 /**
- * Opens connections to backends up to a limit; when it is reached, an idle one is closed for a new
- * one. Times are tenths of a millisecond. Runs on the event loop's thread only.
+ * Opens connections to backends up to a limit; when it is reached, the connection that has been
+ * idle longest is closed for a new one. Times are tenths of a millisecond. Runs on the event loop's
+ * thread only.
  */
 public final class Connector {
-  /** Part of the time after which a backend closes an idle connection: ours are closed by then. */
-  private static final double IDLE_TIMEOUT_PART = 0.8;
+  /** The idle timeout as a fraction of the time after which a backend closes an idle connection. */
+  private static final double IDLE_TIMEOUT_FRACTION = 0.8;
 
   /**
-   * Part of the connect timeout that a connection is in quarantine after a response: within it a
-   * malformed second response shows, some milliseconds late.
+   * The quarantine of a connection after a response, as a fraction of the connect timeout. It is
+   * long enough to detect a surplus response, which may follow some milliseconds later.
    */
-  private static final double QUARANTINE_PART = 0.04;
+  private static final double QUARANTINE_FRACTION = 0.04;
 
   private final EventLoop loop;
   private final AsynchronousChannelGroup group;
@@ -34,9 +35,9 @@
    * Creates a connector without connections.
    *
    * @param maxConnections limit on the number of connections to all backends
-   * @param maxBodyBytes bytes of the longest response body
+   * @param maxBodyBytes length of the longest response body, in bytes
    * @param connectTimeout how long connecting may take
-   * @param backendIdleTimeout after which time a backend closes an idle connection, or 0 for never
+   * @param backendIdleTimeout time after which a backend closes an idle connection; 0: never
    */
   public Connector(
       EventLoop loop,
@@ -57,30 +58,30 @@
     return loop;
   }
 
-  /** Bytes of the longest response body. */
+  /** Length of the longest response body, in bytes. */
   long maxBodyBytes() {
     return maxBodyBytes;
   }
 
-  /** How long a connection may be idle, or 0 for ever. */
+  /** How long a connection may be idle; 0: without limit. */
   long idleTimeout() {
     return idleTimeout;
   }
 
   /** How long a connection is in quarantine after a response, before it carries another request. */
   long quarantineTime() {
-    return (long) (QUARANTINE_PART * connectTimeout);
+    return (long) (QUARANTINE_FRACTION * connectTimeout);
   }
 
   /**
-   * Sets the timeouts in force from now on, also for connections that are already idle.
+   * Sets the timeouts, also for connections that are already idle.
    *
    * @param connectTimeout how long connecting may take
-   * @param backendIdleTimeout after which time a backend closes an idle connection, or 0 for never
+   * @param backendIdleTimeout time after which a backend closes an idle connection; 0: never
    */
   public void setTimeouts(long connectTimeout, long backendIdleTimeout) {
     this.connectTimeout = connectTimeout;
-    idleTimeout = (long) (IDLE_TIMEOUT_PART * backendIdleTimeout);
+    idleTimeout = (long) (IDLE_TIMEOUT_FRACTION * backendIdleTimeout);
     connections.all().stream()
         .filter(BackendConnection::isIdle)
         .forEach(BackendConnection::restartIdleTimeout);
@@ -107,7 +108,8 @@
   /**
    * Starts to connect to the pool's backend.
    *
-   * @throws IOException if no descriptor is left or the limit is reached
+   * @throws IOException if no file descriptor is left, or if the limit is reached and no connection
+   *     is idle
    */
   BackendConnection connect(BackendConnectionPool pool) throws IOException {
     if (connections.size() >= maxConnections) {
@@ -127,7 +129,7 @@
     return connections.add(connection);
   }
 
-  /** The connection in this slot has closed. */
+  /** Removes the connection in this slot, which has closed. */
   void onClosed(int slot) {
     connections.remove(slot);
   }
--- a/proxy/src/main/java/wheattrack/net/backend/package-info.java
+++ b/proxy/src/main/java/wheattrack/net/backend/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The side of the backends: connections, one pool of them for each backend, and attempts that wait
- * for and use them. May depend on {@code protocol}; knows neither clients nor the endpoint list.
+ * Connections to backends, one pool of them for each backend, and the attempts that wait for and
+ * use them. May depend on {@code protocol}; depends neither on clients nor on the endpoint list.
  */
 package wheattrack.net.backend;
--- a/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
@@ -88,7 +88,7 @@
     String id = entry.id();
     long number = EndpointListParser.backendNumber(id);
     BackendConnectionPool known = index.find(id);
-    boolean hasLeft = isStale && known != null && known.hasLeftSince(entry.startedAt());
+    boolean hasLeft = isStale && known != null && known.hasStoppedServing(entry.startedAt());
     BackendConnectionPool pool = index.getOrAdd(id);
     boolean isNewlyListed = index.markListed(pool);
     if (isNewlyListed) {
