--- a/proxy/src/main/java/wheattrack/net/backend/BackendConnection.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendConnection.java
@@ -326,7 +326,7 @@
   /**
    * The connection broke, or the backend sent no valid response. If it broke during the write of
    * the request, the outcome waits for the completion of the write, as only that tells whether the
-   * request was sent completely: a request sent only in part never ran.
+   * request was sent completely: a request sent only in part counts as never run.
    */
   private void onBreak() {
     if (currentAttempt != null && isWriting()) {
--- a/proxy/src/main/java/wheattrack/net/client/ClientConnectionTable.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientConnectionTable.java
@@ -14,8 +14,8 @@
           .thenComparingLong(ClientConnection::idleSince);
 
   /**
-   * The limit divided by this is how many connections are accepted above it, besides one that
-   * always is.
+   * The number of connections that are accepted above the limit is one, plus the limit divided by
+   * this.
    */
   private static final int SURPLUS_DIVISOR = 16;
 
--- a/proxy/src/main/java/wheattrack/net/client/ClientListener.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientListener.java
@@ -25,8 +25,8 @@
   private static final int BACKLOG = 1024;
 
   /**
-   * How long to wait after a failed accept, or until it is tried again to stop accepting; tenths of
-   * a millisecond.
+   * How long to wait before a failed accept, or a failed attempt to stop accepting, is retried;
+   * tenths of a millisecond.
    */
   private static final long RETRY_PAUSE = 200;
 
@@ -193,8 +193,7 @@
         () -> {
           if (acceptedConnections > acceptedBefore) {
             stopAccepting();
-          } else if (!isAccepting) { // the connection limit is reached: retry once connections
-            // closed
+          } else if (!isAccepting) { // the connection limit is reached: retry later
             loop.schedule(RETRY_PAUSE, this::stopAccepting);
           } else {
             closeListeningSocket();
--- a/proxy/src/main/java/wheattrack/net/client/RequestBodyReader.java
+++ b/proxy/src/main/java/wheattrack/net/client/RequestBodyReader.java
@@ -13,7 +13,10 @@
  * ahead are counted in the listener's budget. Runs on the event loop's thread only.
  */
 final class RequestBodyReader {
-  /** The most bytes that are read ahead while a request is open, unless its body is long. */
+  /**
+   * The most bytes that are read ahead while a request is open, but for {@link
+   * #MAX_BODY_READ_AHEAD}.
+   */
   private static final int MAX_READ_AHEAD = 32 * 1024;
 
   /** The most bytes that are read ahead of a long body until its first part is requested. */
--- a/proxy/src/test/java/wheattrack/net/client/ClientEvictionTest.java
+++ b/proxy/src/test/java/wheattrack/net/client/ClientEvictionTest.java
@@ -40,7 +40,7 @@
  * group's thread has read it and before the loop's thread handles it. In the last case the client
  * reads the end of the stream some milliseconds after it wrote its request, whereas a request that
  * was not read ends in a reset; the log line "client closed unanswered" and the metric {@code
- * client_reads_dropped} count it.
+ * client_reads_dropped} report it.
  */
 class ClientEvictionTest {
   private static final int MAX_CLIENTS = 4;
