--- a/proxy/src/main/java/wheattrack/net/JitWarmUp.java
+++ b/proxy/src/main/java/wheattrack/net/JitWarmUp.java
@@ -183,7 +183,9 @@
 
   @Override
   public void fail(PendingRequest request) {
-    Encoder.response(ProtocolMapping.textAnswer(StatusCode.BAD_GATEWAY, "given up", true));
+    Encoder.response(
+        ProtocolMapping.textAnswer(
+            StatusCode.BAD_GATEWAY, "no usable response from a backend", true));
   }
 
   @Override
--- a/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
@@ -90,7 +90,8 @@
     String id = entry.id();
     long number = EndpointListParser.backendNumber(id);
     BackendConnectionPool knownPool = index.find(id);
-    boolean hasLeft = isStale && knownPool != null && knownPool.hasLeftSince(entry.startedAt());
+    boolean hasLeft =
+        isStale && knownPool != null && knownPool.hasStoppedServing(entry.startedAt());
     BackendConnectionPool pool = index.getOrAdd(id);
     boolean isNewlyListed = index.markListed(pool);
     if (isNewlyListed) {
