--- a/proxy/src/main/java/wheattrack/admin/AdminConnection.java
+++ b/proxy/src/main/java/wheattrack/admin/AdminConnection.java
@@ -47,7 +47,7 @@
     if (byteCount < 0) {
       close();
     } else if (isAnswered) {
-      decoder.writableBuffer().clear(); // whatever follows the request is discarded
+      decoder.writableBuffer().clear(); // bytes after the request are discarded
       read(decoder.writableBuffer());
     } else {
       decode();
--- a/proxy/src/main/java/wheattrack/admin/AdminServer.java
+++ b/proxy/src/main/java/wheattrack/admin/AdminServer.java
@@ -102,7 +102,7 @@
 
   private void onAcceptFailed(Throwable cause) {
     if (channel.isOpen()) {
-      EventLog.info("operator not accepted", null, cause.toString());
+      EventLog.info("admin connection not accepted", null, cause.toString());
       loop.schedule(ACCEPT_RETRY_DELAY, this::accept);
     }
   }
@@ -115,13 +115,13 @@
   /** The response to a request. */
   Response respond(Request request) {
     if (!request.method().equals("GET")) {
-      return text(StatusCode.METHOD_NOT_ALLOWED, "only GET is taken here");
+      return text(StatusCode.METHOD_NOT_ALLOWED, "only GET is supported");
     }
     String path = request.target().split("\\?", 2)[0];
     return switch (path) {
       case STATUS_PATH -> status();
       case METRICS_PATH -> text(StatusCode.OK, metrics.get());
-      default -> text(StatusCode.NOT_FOUND, "no such call; there are /status and /status/metrics");
+      default -> text(StatusCode.NOT_FOUND, "unknown path, expected /status or /status/metrics");
     };
   }
 
@@ -140,7 +140,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      EventLog.warning("the operators' listening socket", null, e.toString());
+      EventLog.warning("admin listening socket not closed", null, e.toString());
     }
     new ArrayDeque<>(connections).forEach(AdminConnection::close); // each removes itself
   }
--- a/proxy/src/main/java/wheattrack/admin/MetricsFormat.java
+++ b/proxy/src/main/java/wheattrack/admin/MetricsFormat.java
@@ -39,7 +39,8 @@
    * @param inFlight requests accepted and not answered yet
    * @param backends backends on the endpoint list
    * @param ejectedBackends those of them that are ejected now
-   * @param leftOutBackends backends on the list that are not used, as there are too many
+   * @param leftOutBackends backends on the list that are not used, as the list holds more than the
+   *     proxy supports
    */
   public MetricsFormat(
       RequestCounters counters,
--- a/proxy/src/main/java/wheattrack/log/JsonLineFormatter.java
+++ b/proxy/src/main/java/wheattrack/log/JsonLineFormatter.java
@@ -38,7 +38,7 @@
         json.writeNumberField("left_out", suppressed);
       }
       json.writeEndObject();
-    } catch (IOException e) { // a string writer throws none
+    } catch (IOException e) { // a StringWriter throws none
       throw new UncheckedIOException(e);
     }
     return text.append('\n').toString();
