--- a/proxy/src/main/java/wheattrack/Main.java
+++ b/proxy/src/main/java/wheattrack/Main.java
@@ -24,14 +24,15 @@
   private static final String USAGE =
       """
 usage: wheattrack COMMAND [--config FILE] [--operator FILE]
-  serve    one proxy on sockets, as the configuration says (or $GW_CONFIG)
-  rehearse starts one on a free port before a list and backends of its own, and ends it in order
-  check    reads the configuration, the operators' file or both and says whether they can be used;
-           with --print-defaults it prints the operators' file with all defaults
-  migrate  writes a configuration's counterpart for a proxy beside each client process (--help)
-  drill    decides for a simulator on standard input and output
-  version  prints the version
-  help     prints this""";
+  serve    run a proxy with the configuration of --config, or of $GW_CONFIG
+  rehearse start and stop a proxy with an endpoint list and backends of its own; the build uses it
+           to archive the classes that a start loads
+  check    validate the configuration, the operators' file or both;
+           with --print-defaults, print an operators' file with all defaults
+  migrate  convert a pool's configuration for one proxy per client process (migrate --help)
+  drill    run the policy for a simulator on standard input and output
+  version  print the version
+  help     print this help""";
 
   private static final String CONFIG_VARIABLE = "GW_CONFIG";
   private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
--- a/proxy/src/main/java/wheattrack/ServeCommand.java
+++ b/proxy/src/main/java/wheattrack/ServeCommand.java
@@ -15,7 +15,7 @@
 
   private final Path configFile;
 
-  /** Null if there is no operators' file; so is {@link #operatorConfig} then. */
+  /** Null if there is no operators' file; {@link #operatorConfig} is null then too. */
   private final Path operatorFile;
 
   private final OperatorConfig operatorConfig;
@@ -66,7 +66,7 @@
           operatorConfig.settingsScope());
     } catch (IOException e) {
       throw new InvalidConfigurationException(
-          "listen", config.listen() + " can't be had: " + e.getMessage());
+          "listen", "cannot listen on " + config.listen() + ": " + e.getMessage());
     }
   }
 
@@ -78,7 +78,9 @@
     }
   }
 
-  /** Gets its logger late: no logging class may be initialized before {@link LoggingSetup}. */
+  /**
+   * Obtains its logger only here: no logging class may be initialized before {@link LoggingSetup}.
+   */
   private void resubscribe(ProxyServer server) {
     try {
       OperatorConfig next = OperatorConfig.read(operatorFile);
--- a/proxy/src/main/java/wheattrack/Signals.java
+++ b/proxy/src/main/java/wheattrack/Signals.java
@@ -26,12 +26,14 @@
               .getMethod("handle", signalClass, handlerClass)
               .invoke(null, hangup, handler(handlerClass, action));
       if (previousHandler == handlerClass.getField("SIG_IGN").get(null)) {
-        // the JVM leaves an ignored SIGHUP ignored: proxies of a benchmark under nohup did not
-        // reload, and polled the endpoint list's old address until they were restarted
-        LOG.warning("SIGHUP is not heard, as whoever started this process ignores it (nohup does)");
+        // the JVM leaves an ignored SIGHUP ignored: a proxy under nohup does not reload, and polls
+        // the endpoint list's old address until it is restarted
+        LOG.warning(
+            "SIGHUP does not reload the configuration: this process was started with SIGHUP ignored"
+                + " (as by nohup)");
       }
     } catch (ReflectiveOperationException | RuntimeException e) {
-      LOG.warning("SIGHUP will end this process: " + e);
+      LOG.warning("SIGHUP cannot be handled and will end this process: " + e);
     }
   }
 
--- a/proxy/src/test/java/wheattrack/net/ReloadTest.java
+++ b/proxy/src/test/java/wheattrack/net/ReloadTest.java
@@ -207,10 +207,11 @@
       String logLine =
           lines
               .lines()
-              .filter(line -> line.matches(".*SIGHUP is not heard.*|.*SERVING.*"))
+              .filter(
+                  line -> line.matches(".*SIGHUP does not reload the configuration.*|.*SERVING.*"))
               .findFirst()
               .orElse("nothing");
-      assertTrue(logLine.contains("SIGHUP is not heard"), logLine);
+      assertTrue(logLine.contains("SIGHUP does not reload the configuration"), logLine);
     } finally {
       proxy.destroyForcibly().waitFor();
       Files.delete(file);
