--- a/lab/src/test/java/wheattrack/lab/ScenarioTest.java
+++ b/lab/src/test/java/wheattrack/lab/ScenarioTest.java
@@ -24,11 +24,12 @@
     assertFails("[front]\nnotice = 3\n", "small.toml:18: front.notice: unknown key");
     assertFails(
         "[front]\nnotice-ms = -3\n",
-        "small.toml:18: front.notice-ms: -3.0 is not from 0.0 to 3600000.0");
+        "small.toml:18: front.notice-ms: expected a number from 0.0 to 3600000.0, got -3.0");
     assertFails(
         "[[fault]]\nkind = \"hang\"\nat-s = 1\n[[fault]]\nkind = \"flood\"\n",
-        "small.toml:21: fault[1].kind: 'flood' is none of "
-            + Arrays.stream(Fault.Kind.values()).map(Fault.Kind::keyword).toList());
+        "small.toml:21: fault[1].kind: expected one of "
+            + Arrays.stream(Fault.Kind.values()).map(Fault.Kind::keyword).toList()
+            + ", got 'flood'");
     assertFails(
         "[[fault]]\nkind = \"hang\"\nat-s = 6\n",
         "small.toml:19: fault[0].at-s: 6.0 is past the end");
@@ -38,18 +39,20 @@
         "small.toml:18: fault[0].kind: stop-proxy can't be played on the virtual clock");
     assertFails(
         "[[fault]]\nkind = \"hang\"\nplace = 4\n",
-        "small.toml:19: fault[0].place: 4.0 is not from -1.0 to 3.0");
+        "small.toml:19: fault[0].place: expected a number from -1.0 to 3.0, got 4.0");
     assertFails("[expect]\nservce = \">= 1\"\n", "small.toml:18: expect.servce: unknown figure");
     assertFails(
         "[expect]\nservice = \"about 1\"\n",
         "small.toml:18: expect.service: not a sign (>=, <=, >, <, =) and a number");
     assertFails(
         "[list]\nentries-per-second = -1\n",
-        "small.toml:18: list.entries-per-second: -1.0 is not from 0.0 to 1.0E9");
+        "small.toml:18: list.entries-per-second: expected a number from 0.0 to 1.0E9, got -1.0");
     assertFails(
         "[[fault]]\nkind = \"crash\"\nzone = 1\n",
-        "small.toml:19: fault[0].zone: 1.0 is not from -1.0 to 0.0");
-    assertFails("[hints]\nshare = \"all\"\n", "small.toml:18: hints.share: not a number");
+        "small.toml:19: fault[0].zone: expected a number from -1.0 to 0.0, got 1.0");
+    assertFails(
+        "[hints]\nshare = \"all\"\n",
+        "small.toml:18: hints.share: expected a number, got a string");
     assertFails("[hints\n", "small.toml:17: not TOML: Newline not permitted here");
   }
 }
--- a/proxy/src/main/java/wheattrack/config/ConfigurationFile.java
+++ b/proxy/src/main/java/wheattrack/config/ConfigurationFile.java
@@ -9,7 +9,8 @@
 /** Reads a JSON configuration file that fits into the heap. */
 final class ConfigurationFile {
   /**
-   * A file may be as large as the heap divided by this; its parsed objects take five times more.
+   * The largest file is the heap's size divided by this: the parsed objects take five times as much
+   * memory as the file.
    */
   private static final int HEAP_DIVISOR = 12;
 
@@ -27,7 +28,8 @@
       if (size > maxSize) {
         // a file of 430,000 tenants caused an OutOfMemoryError with a stack trace
         throw new InvalidConfigurationException(
-            file.toString(), size + " bytes, over the " + maxSize + " that the heap allows");
+            file.toString(),
+            "expected at most " + maxSize + " bytes for this heap size, got " + size);
       }
       return Json.object(Files.readString(file));
     } catch (NoSuchFileException e) {
--- a/proxy/src/main/java/wheattrack/config/ConfigurationReader.java
+++ b/proxy/src/main/java/wheattrack/config/ConfigurationReader.java
@@ -86,7 +86,8 @@
   /**
    * Sets a key.
    *
-   * @param keyPath tables and list places on the way to the key, as in {@code fault[0].size}
+   * @param keyPath the key with the tables and list indexes that lead to it, as in {@code
+   *     fault[0].size}
    * @param value the value in TOML's syntax
    */
   public void set(String keyPath, String value) {
@@ -94,7 +95,7 @@
     try {
       parsedValue = new TomlMapper().readValue("v = " + value, Map.class).get("v");
     } catch (JacksonException e) {
-      throw fault(keyPath, "can't be set to " + value);
+      throw fault(keyPath, "expected a value in TOML's syntax, got " + value);
     }
     String[] segments = keyPath.replace("[", ".[").split("\\.");
     Object container = values;
@@ -104,7 +105,10 @@
     }
   }
 
-  /** Goes from a container to one inside it, or puts a value that is not null into it. */
+  /**
+   * Returns the value that one segment of a path names in a container, or puts the new value into
+   * the container if it is not null.
+   */
   @SuppressWarnings("unchecked")
   private Object descend(Object container, String segment, String keyPath, Object newValue) {
     boolean isIndex = segment.matches("\\[\\d+\\]");
@@ -121,15 +125,15 @@
       }
       return table.computeIfAbsent(segment, key -> new LinkedHashMap<>());
     }
-    throw fault(keyPath, "names nothing that is there");
+    throw fault(keyPath, "expected a key of a table, or an index of an existing list entry");
   }
 
-  /** Whether the table has this key. The key does not count as known by this. */
+  /** Whether the table has this key. Does not mark the key as known. */
   public boolean has(String key) {
     return values.get(key) != null;
   }
 
-  /** All keys of a table whose keys are names that its writer chose; all count as known. */
+  /** All keys of a table whose keys are names chosen in the file; all count as known. */
   public List<String> keys() {
     knownKeys.addAll(values.keySet());
     return List.copyOf(values.keySet());
@@ -140,18 +144,22 @@
     knownKeys.add(key);
     Object value = values.get(key);
     if (value != null && !type.isInstance(value)) {
-      throw fault(key, "not " + typeName);
+      throw fault(key, "expected " + typeName + ", got " + typeOf(value));
     }
     return type.cast(value);
   }
 
+  private static String typeOf(Object value) {
+    return JsonObjectReader.typeName(value, "a table");
+  }
+
   /** A number from minimum to maximum, both included. */
   public double number(String key, double defaultValue, double minimum, double maximum) {
     Number found = get(key, Number.class, "a number");
     double value = found == null ? defaultValue : found.doubleValue();
     boolean isInRange = value >= minimum && value <= maximum; // false for NaN
     if (!isInRange) {
-      throw fault(key, value + " is not from " + minimum + " to " + maximum);
+      throw fault(key, "expected a number from " + minimum + " to " + maximum + ", got " + value);
     }
     return value;
   }
@@ -160,7 +168,7 @@
   public int integer(String key, int defaultValue, int minimum, int maximum) {
     double value = number(key, defaultValue, minimum, maximum);
     if (value != Math.rint(value)) {
-      throw fault(key, value + " is not whole");
+      throw fault(key, "expected a whole number, got " + value);
     }
     return (int) value;
   }
@@ -173,7 +181,7 @@
 
   /** A string. */
   public String text(String key, String defaultValue) {
-    String found = get(key, String.class, "a text");
+    String found = get(key, String.class, "a string");
     return found == null ? defaultValue : found;
   }
 
@@ -185,7 +193,7 @@
   public String text(String key) {
     String found = text(key, null);
     if (found == null || found.isEmpty()) {
-      throw fault(key, "missing");
+      throw fault(key, "missing or empty");
     }
     return found;
   }
@@ -194,7 +202,7 @@
   public String choice(String key, List<String> words) {
     String found = text(key, words.get(0));
     if (!words.contains(found)) {
-      throw fault(key, "'" + found + "' is none of " + words);
+      throw fault(key, "expected one of " + words + ", got '" + found + "'");
     }
     return found;
   }
@@ -208,7 +216,8 @@
     double[] numbers = new double[found.size()];
     for (int i = 0; i < numbers.length; i++) {
       if (!(found.get(i) instanceof Number number)) {
-        throw fault(key, "not a list of numbers");
+        throw fault(
+            key, "expected a list of numbers, got " + typeOf(found.get(i)) + " at index " + i);
       }
       numbers[i] = number.doubleValue();
     }
@@ -235,7 +244,8 @@
     }
     for (int i = 0; i < found.size(); i++) {
       if (!(found.get(i) instanceof Map<?, ?> map)) {
-        throw fault(key, "not a list of tables");
+        throw fault(
+            key, "expected a list of tables, got " + typeOf(found.get(i)) + " at index " + i);
       }
       String path = pathOf(key) + "[" + i + "]";
       tables.add(new ConfigurationReader((Map<String, Object>) map, path, locator));
--- a/proxy/src/main/java/wheattrack/config/DynamicSettings.java
+++ b/proxy/src/main/java/wheattrack/config/DynamicSettings.java
@@ -21,10 +21,10 @@
     SNAPSHOT_REQUIRED
   }
 
-  /** Request classes that one proxy holds at most; with all tenants they take some 30 MB. */
+  /** The most request classes that one proxy holds; with all tenants they take some 30 MB. */
   public static final int MAX_CLASSES = 50_000;
 
-  /** Tenants that one proxy holds at most. */
+  /** The most tenants that one proxy holds. */
   public static final int MAX_TENANTS = 100_000;
 
   private static final long NO_REVISION = -1;
@@ -32,7 +32,7 @@
   private String source = "";
   private long revision = NO_REVISION;
 
-  /** All classes by name; the same map for the object's whole life, as callers keep it. */
+  /** All classes by name. The map is never replaced, as callers keep a reference to it. */
   private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
   /** Requests a second by tenant. */
@@ -76,7 +76,7 @@
     valid.requestClasses().forEach(this::putRequestClass);
     valid.quotas().forEach(this::putQuota);
     if (quotas.isEmpty()) {
-      totalQuota = 0; // drops the rounding error of the running total
+      totalQuota = 0; // removes the rounding error of the running total
     }
     limits = valid.limits();
     revision = updateRevision;
--- a/proxy/src/main/java/wheattrack/config/DynamicSettingsUpdate.java
+++ b/proxy/src/main/java/wheattrack/config/DynamicSettingsUpdate.java
@@ -47,7 +47,8 @@
     for (JsonObjectReader entry : update.sections(Settings.REQUEST_CLASSES)) {
       String name = entry.text("name");
       if (changed.containsKey(name)) {
-        throw new InvalidConfigurationException(entry.key("name"), "the same as another's");
+        throw new InvalidConfigurationException(
+            entry.key("name"), "expected a unique name, got that of another entry");
       }
       boolean isKnown = current.containsKey(name);
       if (entry.flag("gone")) {
@@ -62,7 +63,8 @@
     }
     if (count == 0) {
       throw new InvalidConfigurationException(
-          update.key(Settings.REQUEST_CLASSES), "none would be left");
+          update.key(Settings.REQUEST_CLASSES),
+          "expected at least one request class after the update, got none");
     }
     checkCount(update, Settings.REQUEST_CLASSES, count, DynamicSettings.MAX_CLASSES);
     return changed;
@@ -78,7 +80,8 @@
       SettingsValidator.checkTenant(tenant);
       double quotaPerSecond = PolicySettingsMapper.quotaPerSecond(tenant);
       if (changed.put(name, isRemoved ? REMOVED : quotaPerSecond) != null) {
-        throw new InvalidConfigurationException(tenant.key("name"), "the same as another's");
+        throw new InvalidConfigurationException(
+            tenant.key("name"), "expected a unique name, got that of another entry");
       }
       boolean isKnown = current.containsKey(name);
       if (isRemoved && isKnown) {
@@ -105,7 +108,7 @@
   private static void checkCount(JsonObjectReader update, String key, int count, int maximum) {
     if (count > maximum) {
       throw new InvalidConfigurationException(
-          update.key(key), count + " are over the " + maximum + " that one proxy holds");
+          update.key(key), "expected at most " + maximum + " entries, got " + count);
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/config/Json.java
+++ b/proxy/src/main/java/wheattrack/config/Json.java
@@ -17,18 +17,20 @@
   private Json() {}
 
   /**
-   * The one object that a text consists of.
+   * Parses a text that consists of exactly one JSON object.
    *
-   * @throws IOException if the text is anything else
+   * @throws IOException if the text is not JSON, or anything but one object
    */
   public static Map<String, Object> object(String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
-      if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new IOException("not an object");
+      JsonToken first = parser.nextToken();
+      if (first != JsonToken.START_OBJECT) {
+        throw new IOException(
+            "expected a JSON object, got " + (first == null ? "no value" : "another value"));
       }
       Map<String, Object> object = map(parser);
       if (parser.nextToken() != null) {
-        throw new IOException("something follows the object");
+        throw new IOException("expected the end of the text after the JSON object, got more text");
       }
       return object;
     }
@@ -57,7 +59,7 @@
   /** The value whose first token is the parser's current one. */
   private static Object value(JsonParser parser) throws IOException {
     if (parser.currentToken() == null) {
-      throw new IOException("it ends too early");
+      throw new IOException("the text ends before the JSON object is complete");
     }
     return switch (parser.currentToken()) {
       case START_OBJECT -> map(parser);
--- a/proxy/src/main/java/wheattrack/config/JsonObjectReader.java
+++ b/proxy/src/main/java/wheattrack/config/JsonObjectReader.java
@@ -13,8 +13,8 @@
  * underlying map.
  */
 public sealed class JsonObjectReader permits Settings {
-  private static final String NOT_A_NUMBER = "not a number";
-  private static final String NOT_AN_OBJECT = "not an object";
+  private static final String A_NUMBER = "a number";
+  private static final String AN_OBJECT = "an object";
 
   private final Map<String, Object> values;
 
@@ -48,23 +48,55 @@
       return null;
     }
     if (!(parent instanceof Map<?, ?> parentObject)) {
-      throw new InvalidConfigurationException(key(parentPath), NOT_AN_OBJECT);
+      throw wrongType(key(parentPath), AN_OBJECT, parent);
     }
     return parentObject.get(path.substring(lastDot + 1));
   }
 
-  /** The value if it is of this type, the default if it is missing; any other is a fault. */
-  private <T> T get(String path, Class<T> type, T defaultValue, String wrongTypeFault) {
+  /**
+   * The value if it is of this type, the default if it is missing.
+   *
+   * @param typeName the type with its article, for the error
+   * @throws InvalidConfigurationException if the value is of another type
+   */
+  private <T> T get(String path, Class<T> type, T defaultValue, String typeName) {
     Object value = any(path);
     if (value == null) {
       return defaultValue;
     }
     if (!type.isInstance(value)) {
-      throw new InvalidConfigurationException(key(path), wrongTypeFault);
+      throw wrongType(key(path), typeName, value);
     }
     return type.cast(value);
   }
 
+  private static InvalidConfigurationException wrongType(
+      String key, String expectedType, Object value) {
+    return new InvalidConfigurationException(
+        key, "expected " + expectedType + ", got " + typeName(value, AN_OBJECT));
+  }
+
+  /**
+   * The type of a parsed value with its article, for messages.
+   *
+   * @param mapTypeName what the file format calls a map
+   */
+  static String typeName(Object value, String mapTypeName) {
+    if (value instanceof Map<?, ?>) {
+      return mapTypeName;
+    }
+    if (value instanceof List<?>) {
+      return "a list";
+    }
+    if (value instanceof Number) {
+      return "a number";
+    }
+    if (value instanceof Boolean) {
+      return "a boolean";
+    }
+    return value == null ? "null" : "a string";
+  }
+
   /** The path of a key from the document's root, for messages. */
   String key(String path) {
     return pathPrefix + path;
@@ -94,7 +126,7 @@
 
   /** A number. */
   public double number(String path, double defaultValue) {
-    return get(path, Number.class, defaultValue, NOT_A_NUMBER).doubleValue();
+    return get(path, Number.class, defaultValue, A_NUMBER).doubleValue();
   }
 
   /** A number without its fraction; beyond the range of an int, the nearest int. */
@@ -104,7 +136,7 @@
 
   /** A number without its fraction. */
   public long wholeNumber(String path, long defaultValue) {
-    return get(path, Number.class, defaultValue, NOT_A_NUMBER).longValue();
+    return get(path, Number.class, defaultValue, A_NUMBER).longValue();
   }
 
   /**
@@ -116,19 +148,19 @@
   public long time(String path, long defaultMicros) {
     double micros = number(path, defaultMicros);
     if (micros < 0) {
-      throw new InvalidConfigurationException(key(path), "negative");
+      throw new InvalidConfigurationException(key(path), "expected 0 or more, got " + micros);
     }
     return TimeConversion.ticksRoundedDown((long) micros);
   }
 
   /** A boolean, false by default. */
   public boolean flag(String path) {
-    return get(path, Boolean.class, false, "neither true nor false");
+    return get(path, Boolean.class, false, "true or false");
   }
 
   /** A string. */
   public String text(String path, String defaultValue) {
-    return get(path, String.class, defaultValue, "not a text");
+    return get(path, String.class, defaultValue, "a string");
   }
 
   /**
@@ -139,22 +171,21 @@
   public String text(String path) {
     String value = text(path, null);
     if (value == null || value.isEmpty()) {
-      throw new InvalidConfigurationException(key(path), "missing");
+      throw new InvalidConfigurationException(key(path), "missing or empty");
     }
     return value;
   }
 
   /** A list, empty by default. */
   public List<?> list(String path) {
-    return get(path, List.class, List.of(), "not a list");
+    return get(path, List.class, List.of(), "a list");
   }
 
   /** A nested object, empty by default. */
   @SuppressWarnings("unchecked")
   public JsonObjectReader section(String path) {
     return new JsonObjectReader(
-        (Map<String, Object>) get(path, Map.class, Map.of(), NOT_AN_OBJECT),
-        pathPrefix + path + ".");
+        (Map<String, Object>) get(path, Map.class, Map.of(), AN_OBJECT), pathPrefix + path + ".");
   }
 
   /** A list of objects, empty by default. */
@@ -168,7 +199,7 @@
   @SuppressWarnings("unchecked")
   private static JsonObjectReader listEntry(Object entry, String key) {
     if (!(entry instanceof Map<?, ?> map)) {
-      throw new InvalidConfigurationException(key, NOT_AN_OBJECT);
+      throw wrongType(key, AN_OBJECT, entry);
     }
     return new JsonObjectReader((Map<String, Object>) map, key + ".");
   }
--- a/proxy/src/main/java/wheattrack/config/LoadReport.java
+++ b/proxy/src/main/java/wheattrack/config/LoadReport.java
@@ -7,7 +7,7 @@
  *
  * @param inFlight the requests that the backend holds, queued ones included; negative if the report
  *     does not say
- * @param queued those of the held requests that wait
+ * @param queued how many of those requests wait in a queue
  */
 public record LoadReport(double inFlight, double queued) {
   /** The field of {@link #inFlight}. */
--- a/proxy/src/main/java/wheattrack/config/MigrateCommand.java
+++ b/proxy/src/main/java/wheattrack/config/MigrateCommand.java
@@ -21,16 +21,16 @@
   private static final String USAGE =
       """
       usage: wheattrack migrate OLD (--out NEW | --dry-run) [...]
-        OLD               a configuration of a bank of proxies; it stays as it is
-        --out NEW         where its counterpart goes; a file that is there is never written over
-        --dry-run         prints the counterpart and changes nothing
-        --balancers N     how many proxies there will be, one beside each client process
-        --me N            which of them this one is, from 0
+        OLD               the configuration of a pool of proxies; it is not changed
+        --out NEW         the file to write; an existing file is never overwritten
+        --dry-run         print the new configuration and write no file
+        --balancers N     the number of proxies, one for each client process
+        --me N            the index of this proxy, from 0
         --reports HOW     how backends report their load: none, answers or probe
-        --place NAME      the one place that all stands in, of the old zones
-        --listen ADDRESS  where this proxy's client reaches it
-      What could not be carried over is listed on the error output, a key a line.
-      exit codes: 0 all carried over, or nothing to do; 1 something is left to you; 2 bad input""";
+        --place NAME      the only zone of the new configuration, one of the old zones
+        --listen ADDRESS  the address where this proxy's client connects
+      Each key that was not migrated is listed on standard error, one per line.
+      exit codes: 0 migrated, or nothing to do; 1 migrated, with keys left to you; 2 bad input""";
 
   private static final String[] VALUE_OPTIONS = {
     "out", "balancers", "me", "reports", "place", "listen"
@@ -75,17 +75,19 @@
     return options;
   }
 
-  /** The old configuration's file; checks that the arguments name one file and one output. */
+  /**
+   * The old configuration's file; checks that the arguments name one file and one kind of output.
+   */
   private static String checkArguments(CommandLine commandLine) {
     String[] files = commandLine.getArgs();
     if (files.length != 1) {
       throw new InvalidConfigurationException(
-          "OLD", files.length == 0 ? "missing" : "more than one");
+          "OLD", "expected one file, got " + (files.length == 0 ? "none" : files.length));
     }
     boolean hasOut = commandLine.hasOption("out");
     if (commandLine.hasOption("dry-run") == hasOut) {
       throw new InvalidConfigurationException(
-          "--out", hasOut ? "contradicts --dry-run" : "missing");
+          "--out", "expected either this or --dry-run, got " + (hasOut ? "both" : "neither"));
     }
     return files[0];
   }
@@ -95,7 +97,7 @@
     Map<String, Object> old = ConfigurationFile.read(oldFile);
     if (Migration.isMigrated(old)) {
       new ProxyConfig(old); // throws if it can't be used
-      err.println(oldFile + ": is of the new shape already, nothing is written");
+      err.println(oldFile + ": has the shape per-client already, nothing is written");
       return ExitCode.SUCCESS;
     }
     Migration migration = Migration.of(old, migrationOptions(commandLine));
@@ -129,7 +131,7 @@
     try {
       return value == null ? null : Integer.valueOf(value);
     } catch (NumberFormatException e) {
-      throw new InvalidConfigurationException("--" + name, "not a whole number: " + value);
+      throw new InvalidConfigurationException("--" + name, "expected a whole number, got " + value);
     }
   }
 
@@ -143,7 +145,8 @@
         .orElseThrow(
             () ->
                 new InvalidConfigurationException(
-                    "--reports", "none of " + LoadReportMode.KEYWORDS));
+                    "--reports",
+                    "expected one of " + LoadReportMode.KEYWORDS + ", got " + keyword));
   }
 
   private static String toJson(Map<String, Object> configuration, Path oldFile) {
@@ -152,7 +155,7 @@
       return mapper.writeValueAsString(configuration) + "\n";
     } catch (IOException e) {
       throw new InvalidConfigurationException(
-          oldFile.toString(), "can't be written anew: " + e.getMessage());
+          oldFile.toString(), "cannot be written as JSON: " + e.getMessage());
     }
   }
 
@@ -170,9 +173,9 @@
         Files.delete(temporary);
       }
     } catch (FileAlreadyExistsException e) {
-      throw new InvalidConfigurationException("--out", file + " is there already");
+      throw new InvalidConfigurationException("--out", file + " exists already");
     } catch (IOException e) {
-      throw new InvalidConfigurationException("--out", file + " can't be written: " + e);
+      throw new InvalidConfigurationException("--out", file + " cannot be written: " + e);
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/config/Migration.java
+++ b/proxy/src/main/java/wheattrack/config/Migration.java
@@ -17,11 +17,11 @@
   /**
    * Values that the old file does not hold; null where the operator gave none.
    *
-   * @param proxyCount how many proxies there will be
-   * @param proxyIndex which of them this one is, from 0
+   * @param proxyCount the number of proxies
+   * @param proxyIndex the index of this proxy, from 0
    * @param reports how backends report their load
    * @param zone the one zone that remains of the old ones
-   * @param listen where the proxy's client connects
+   * @param listen the address where the proxy's client connects
    */
   record Options(
       Integer proxyCount, Integer proxyIndex, LoadReportMode reports, String zone, String listen) {}
@@ -68,14 +68,14 @@
   private static final Map<String, String> REMOVED_KEYS =
       new TreeMap<>(
           Map.of(
-              "rules.goneIsAdvice", "what the list drops is gone now",
-              "rules.extraFloor", "further dispatches are held to no budget now",
-              "rules.resendRatio", "further dispatches are held to no budget now",
-              "rules.budgetSpan", "further dispatches are held to no budget now",
-              "goal.punctual", "late answers are not counted by their share now",
-              "goal.tailMiss", "late answers are not counted by their share now",
-              "goal.logLossPart", "late answers are not counted by nines now",
-              "goal.fullAtNines", "late answers are not counted by nines now"));
+              "rules.goneIsAdvice", "backends that the endpoint list drops are no longer used",
+              "rules.extraFloor", "retries and hedged requests no longer have a budget",
+              "rules.resendRatio", "retries and hedged requests no longer have a budget",
+              "rules.budgetSpan", "retries and hedged requests no longer have a budget",
+              "goal.punctual", "the share of late responses is no longer evaluated",
+              "goal.tailMiss", "the share of late responses is no longer evaluated",
+              "goal.logLossPart", "late responses are no longer evaluated in nines",
+              "goal.fullAtNines", "late responses are no longer evaluated in nines"));
 
   private final Map<String, Object> result;
   private final Map<String, Object> settings;
@@ -119,21 +119,22 @@
 
   private void run(Options options) {
     result.put("shape", DeploymentShape.PER_CLIENT.keyword());
-    remove(result, "", "seed", "each proxy draws its own at its start");
-    remove(result, "", "known", "it is the list of the old servers");
+    remove(result, "", "seed", "each proxy draws a random one at its start");
+    remove(result, "", "known", "it is the cached endpoint list of the old proxies");
     REMOVED_KEYS.forEach(this::removeSetting);
-    setProxyPosition(options);
+    setProxyIndex(options);
     setReports(options.reports);
     if (options.zone != null) {
       setOnlyZone(options.zone);
     }
     if (options.listen == null) {
-      remarks.add("listen: as it was, name the address beside this proxy's client by --listen");
+      remarks.add("listen: not changed, set the address for this proxy's client with --listen");
     } else {
       result.put("listen", options.listen);
     }
     if (new JsonObjectReader(result).list("settings.tenants").isEmpty()) {
-      remarks.add("settings.tenants: no quotaPerS is known, a proxy's part of it can't be told");
+      remarks.add(
+          "settings.tenants: no tenants with a quotaPerS, so this proxy has no share of a quota");
     }
     new ProxyConfig(result); // throws if it can't be used
   }
@@ -144,14 +145,14 @@
     remove(section, "settings." + path.substring(0, dot + 1), path.substring(dot + 1), reason);
   }
 
-  private void setProxyPosition(Options options) {
+  private void setProxyIndex(Options options) {
     if (options.proxyCount == null) {
-      remarks.add("settings.balancers: as it was, say how many proxies there are by --balancers");
+      remarks.add("settings.balancers: not changed, set the number of proxies with --balancers");
     } else {
       settings.put("balancers", options.proxyCount);
     }
     if (options.proxyIndex == null) {
-      remarks.add("settings.me: as it was, say which of them this is by --me");
+      remarks.add("settings.me: not changed, set the index of this proxy with --me");
     } else {
       settings.put("me", options.proxyIndex);
     }
@@ -161,17 +162,17 @@
     if (proxyCount < 1 || proxyIndex < 0 || proxyIndex >= proxyCount) {
       throw new InvalidConfigurationException(
           options.proxyIndex == null ? "--balancers" : "--me",
-          proxyIndex
-              + " of "
+          "expected settings.me to be 0 or more and less than settings.balancers ("
               + proxyCount
-              + " proxies contradicts settings.balancers and settings.me");
+              + "), got "
+              + proxyIndex);
     }
   }
 
   private void setReports(LoadReportMode mode) {
     if (mode == null) {
       if (!settings.containsKey("report")) {
-        remarks.add("settings.report: none known, say how backends report their load by --reports");
+        remarks.add("settings.report: missing, set how backends report their load with --reports");
       }
       return;
     }
@@ -188,7 +189,7 @@
     }
     if (mode == LoadReportMode.IN_RESPONSES) {
       remarks.add(
-          "settings.report: name the answers' header in the operators' file, answers-header");
+          "settings.report: set the response header in the operators' file, key answers-header");
     }
   }
 
@@ -196,7 +197,7 @@
     Settings old = new Settings(settings);
     if (old.has("limits.probing") && !old.flag("limits.probing")) {
       throw new InvalidConfigurationException(
-          "--reports", "probe contradicts settings.limits.probing, which is false");
+          "--reports", "expected another mode than probe, as settings.limits.probing is false");
     }
   }
 
@@ -204,7 +205,7 @@
     List<?> zones = new JsonObjectReader(result).list("settings.zones");
     if (!zones.isEmpty() && !zones.contains(zone)) {
       throw new InvalidConfigurationException(
-          "--place", "'" + zone + "' contradicts settings.zones, " + zones);
+          "--place", "expected one of settings.zones, " + zones + ", got '" + zone + "'");
     }
     settings.put("zones", List.of(zone));
     settings.put("zone", 0);
@@ -212,7 +213,7 @@
         section(settings, "prices"),
         "settings.prices.",
         "crossZone",
-        "nothing is crossed in one place");
+        "no request crosses zones where there is only one");
     remarkZoneScopes();
   }
 
@@ -225,7 +226,7 @@
         remarks.add(
             "settings.ruleSets["
                 + i
-                + "].group: zone is all of the one place, see if that is meant");
+                + "].group: zone now covers all of the only zone, check that this is intended");
       }
     }
   }
@@ -233,7 +234,7 @@
   /** Removes a key, with a remark if it was there. */
   private void remove(Map<String, Object> section, String prefix, String key, String reason) {
     if (section.remove(key) != null) {
-      remarks.add(prefix + key + ": left out, " + reason);
+      remarks.add(prefix + key + ": removed, " + reason);
     }
   }
 
@@ -245,17 +246,18 @@
     }
   }
 
-  /** A nested object to read or remove from; a detached empty one if it is missing. */
+  /** A nested object to read or remove from; an empty one outside the parent if it is missing. */
   @SuppressWarnings("unchecked")
   private static Map<String, Object> section(Map<String, Object> parent, String key) {
     Object found = parent.get(key);
     if (found != null && !(found instanceof Map<?, ?>)) {
-      throw new InvalidConfigurationException(key, "not an object");
+      throw new InvalidConfigurationException(
+          key, "expected an object, got " + JsonObjectReader.typeName(found, "an object"));
     }
     return found == null ? new LinkedHashMap<>() : (Map<String, Object>) found;
   }
 
-  /** A nested object to put into, made if it is missing. */
+  /** A nested object to write to, which is created if it is missing. */
   private static Map<String, Object> sectionForWriting(Map<String, Object> parent, String key) {
     Map<String, Object> section = section(parent, key);
     parent.put(key, section);
--- a/proxy/src/main/java/wheattrack/config/OperatorConfig.java
+++ b/proxy/src/main/java/wheattrack/config/OperatorConfig.java
@@ -24,11 +24,11 @@
    * How the log is written.
    *
    * @param isJson whether lines are JSON objects rather than plain text
-   * @param maxLinesPerSecond how many lines a second one event may have; 0: any number
+   * @param maxLinesPerSecond the most lines of one event per second; 0 for no limit
    * @param logsRequests whether attempts and requests have lines of their own
    */
   public record LogSettings(boolean isJson, int maxLinesPerSecond, boolean logsRequests) {
-    /** The settings without an operators' file, at hand without parsing any TOML at the start. */
+    /** The settings without an operators' file; a constant, so that no TOML is parsed for them. */
     public static final LogSettings DEFAULTS = new LogSettings(false, 0, false);
   }
 
@@ -94,7 +94,9 @@
   private static String readLoadReportHeader(ConfigurationReader section) {
     String header = section.text("answers-header", "");
     if (!header.matches(HEADER_NAME)) {
-      throw section.fault("answers-header", "'" + header + "' is no header's name");
+      throw section.fault(
+          "answers-header",
+          "expected a header name of at most 64 letters, digits and '-', got '" + header + "'");
     }
     return header;
   }
@@ -104,8 +106,8 @@
     try {
       return source.isEmpty() ? null : SocketAddressParser.parse("source", source);
     } catch (InvalidConfigurationException e) {
-      // thrown anew to name file and line
-      throw section.fault("source", "not an address in figures with a port: " + source);
+      // the parser does not know the file and the line
+      throw section.fault("source", "expected a numeric IP address with a port, got " + source);
     }
   }
 
@@ -113,7 +115,9 @@
     String scope = section.text("scope", "");
     if (!scope.matches(SCOPE_NAMES)) {
       throw section.fault(
-          "scope", "no names of letters, figures, '.', '_', '-' by commas, 256 at most");
+          "scope",
+          "expected at most 256 names separated by commas,"
+              + " each of 1 to 64 letters, digits, '.', '_' and '-'");
     }
     return scope;
   }
--- a/proxy/src/main/java/wheattrack/config/ProxyConfig.java
+++ b/proxy/src/main/java/wheattrack/config/ProxyConfig.java
@@ -70,13 +70,19 @@
     admin = readAdmin(root);
     seed = readSeed(root);
     maxDescriptors = root.integer("limits.sockets", DEFAULT_DESCRIPTORS);
-    check(maxDescriptors >= MIN_DESCRIPTORS, "limits.sockets", "under " + MIN_DESCRIPTORS);
+    check(
+        maxDescriptors >= MIN_DESCRIPTORS,
+        "limits.sockets",
+        "expected at least " + MIN_DESCRIPTORS + ", got " + maxDescriptors);
     double bodyLimitMegabytes = root.number("limits.body_mb", DEFAULT_BODY_LIMIT_MEGABYTES);
-    check(bodyLimitMegabytes >= MIN_BODY_LIMIT_MEGABYTES, "limits.body_mb", "under 1");
+    check(
+        bodyLimitMegabytes >= MIN_BODY_LIMIT_MEGABYTES,
+        "limits.body_mb",
+        "expected at least " + MIN_BODY_LIMIT_MEGABYTES + ", got " + bodyLimitMegabytes);
     maxBodyBytes = (long) (bodyLimitMegabytes * BYTES_PER_MEGABYTE);
     double drainMillis = root.number("drain_ms", DEFAULT_DRAIN_MILLIS);
     drainTime = (long) (drainMillis * TimeConversion.TICKS_PER_MILLISECOND);
-    check(drainTime >= 0, "drain_ms", "negative");
+    check(drainTime >= 0, "drain_ms", "expected 0 or more, got " + drainMillis);
     checkShape(root);
     cachedEndpoints = root.section("known");
     settings = new Settings(root.section("settings"));
@@ -94,7 +100,10 @@
 
   private static void checkShape(JsonObjectReader root) {
     String shape = root.text("shape", DeploymentShape.POOL.keyword());
-    check(DeploymentShape.KEYWORDS.contains(shape), "shape", "none of " + DeploymentShape.KEYWORDS);
+    check(
+        DeploymentShape.KEYWORDS.contains(shape),
+        "shape",
+        "expected one of " + DeploymentShape.KEYWORDS);
   }
 
   private static long readSeed(JsonObjectReader root) {
@@ -102,7 +111,8 @@
     try {
       return seed.isEmpty() ? System.nanoTime() : Long.parseUnsignedLong(seed, SEED_RADIX);
     } catch (NumberFormatException e) {
-      throw new InvalidConfigurationException("seed", "not up to 16 hex digits: " + seed);
+      throw new InvalidConfigurationException(
+          "seed", "expected at most 16 hexadecimal digits, got " + seed);
     }
   }
 
@@ -152,7 +162,7 @@
         check(
             entry.has(key),
             "settings.ruleSets." + entry.text("name") + "." + key,
-            "missing, all running ones have it");
+            "missing, but all running request classes have it");
       }
     }
   }
@@ -172,9 +182,12 @@
     required.forEach(
         (key, value) -> {
           String path = prefix + key;
-          check(present.containsKey(key), path, "missing, the running configuration has it");
+          check(present.containsKey(key), path, "missing, but the running configuration has it");
           if (value instanceof Map<?, ?> section) {
-            check(present.get(key) instanceof Map, path, "not an object");
+            check(
+                present.get(key) instanceof Map,
+                path,
+                "expected an object, as in the running configuration");
             checkHasKeys(section, (Map<?, ?>) present.get(key), path + ".");
           }
         });
--- a/proxy/src/main/java/wheattrack/config/Settings.java
+++ b/proxy/src/main/java/wheattrack/config/Settings.java
@@ -20,7 +20,7 @@
   /** The key of the names of all zones. */
   static final String ZONES = "zones";
 
-  /** The key of this proxy's place in the zones. */
+  /** The key of the index of this proxy's zone. */
   static final String ZONE = "zone";
 
   /** The path of the keyword for how backends report their load. */
@@ -42,12 +42,12 @@
     super(section);
   }
 
-  /** How many proxies there are. */
+  /** The number of proxies. */
   int proxyCount() {
     return integer(PROXY_COUNT, 1);
   }
 
-  /** Which of the proxies this one is, from 0. */
+  /** The index of this proxy among all proxies, from 0. */
   int proxyIndex() {
     return integer(PROXY_INDEX, 0);
   }
@@ -57,7 +57,7 @@
     return list(ZONES);
   }
 
-  /** The place of this proxy's zone in {@link #zones}, from 0. */
+  /** The index of this proxy's zone in {@link #zones}. */
   int zoneIndex() {
     return integer(ZONE, 0);
   }
--- a/proxy/src/main/java/wheattrack/config/SettingsValidator.java
+++ b/proxy/src/main/java/wheattrack/config/SettingsValidator.java
@@ -11,7 +11,7 @@
 final class SettingsValidator {
   private SettingsValidator() {}
 
-  /** Throws if the condition does not hold. */
+  /** Throws an error with this key and fault if the condition does not hold. */
   static void check(boolean condition, String key, String fault) {
     if (!condition) {
       throw new InvalidConfigurationException(key, fault);
@@ -27,33 +27,45 @@
     checkPrices(settings);
     checkTenants(settings);
     checkLoadReports(settings);
-    checkProxyPosition(settings);
+    checkProxyIndex(settings);
     checkLimits(settings);
     checkZone(settings);
   }
 
-  private static void checkProxyPosition(Settings settings) {
+  private static void checkProxyIndex(Settings settings) {
     int proxyCount = settings.proxyCount();
     int proxyIndex = settings.proxyIndex();
-    check(proxyCount >= 1, settings.key(Settings.PROXY_COUNT), "under 1");
+    check(
+        proxyCount >= 1,
+        settings.key(Settings.PROXY_COUNT),
+        "expected at least 1, got " + proxyCount);
     check(
         proxyIndex >= 0 && proxyIndex < proxyCount,
         settings.key(Settings.PROXY_INDEX),
-        "not from 0 to under balancers");
+        "expected 0 or more and less than balancers (" + proxyCount + "), got " + proxyIndex);
   }
 
   private static void checkZone(Settings settings) {
     int zoneCount = Math.max(1, settings.zones().size());
     int zone = settings.zoneIndex();
-    check(zone >= 0 && zone < zoneCount, settings.key(Settings.ZONE), "not a place in zones");
+    check(
+        zone >= 0 && zone < zoneCount,
+        settings.key(Settings.ZONE),
+        "expected an index in zones, from 0 to " + (zoneCount - 1) + ", got " + zone);
   }
 
   private static void checkRequestClasses(Settings settings) {
     List<JsonObjectReader> entries = settings.requestClassEntries();
-    check(!entries.isEmpty(), settings.key(Settings.REQUEST_CLASSES), "missing");
+    check(
+        !entries.isEmpty(),
+        settings.key(Settings.REQUEST_CLASSES),
+        "expected at least one request class, got none");
     Set<String> names = new HashSet<>();
     for (JsonObjectReader entry : entries) {
-      check(names.add(entry.text("name")), entry.key("name"), "the same as another's");
+      check(
+          names.add(entry.text("name")),
+          entry.key("name"),
+          "expected a unique name, got that of another entry");
       checkRequestClass(entry);
     }
   }
@@ -72,20 +84,28 @@
 
   private static void checkKeyword(
       JsonObjectReader object, String path, String keyword, List<String> allowed) {
-    check(allowed.contains(keyword), object.key(path), "none of " + allowed);
+    check(allowed.contains(keyword), object.key(path), "expected one of " + allowed);
   }
 
   private static void checkPositiveTime(JsonObjectReader entry, String key) {
     long time = entry.time(key, PolicySettingsMapper.DEFAULT_LATENCY_MICROS);
-    check(time > 0, entry.key(key), "not above 0");
+    if (time <= 0) {
+      throw new InvalidConfigurationException(
+          entry.key(key),
+          "expected at least "
+              + TimeConversion.MICROS_PER_TICK
+              + " microseconds, got "
+              + entry.number(key, PolicySettingsMapper.DEFAULT_LATENCY_MICROS));
+    }
   }
 
   /** Checks the section `limits` of the given settings. */
   static void checkLimits(JsonObjectReader settings) {
+    int maxAttempts = settings.integer("limits.maxDispatches", 1);
     check(
-        settings.integer("limits.maxDispatches", 1) >= 1,
+        maxAttempts >= 1,
         settings.key("limits.maxDispatches"),
-        "under 1");
+        "expected at least 1, got " + maxAttempts);
     for (String key : List.of("dialTimeout", "idleClose", "maxRetryAfter")) {
       settings.time("limits." + key, 0);
     }
@@ -99,16 +119,17 @@
     check(
         settings.number("rules.budgetSpan", 0) == 0,
         settings.key("rules.budgetSpan"),
-        "further dispatches are held to no budget any more");
+        "expected 0, as retries and hedged requests no longer have a budget");
     check(
         !settings.flag("rules.goneIsAdvice"),
         settings.key("rules.goneIsAdvice"),
-        "what the list drops is gone, nothing else is known any more");
+        "expected false, as backends that the endpoint list drops are no longer used");
   }
 
   private static void checkPrices(Settings settings) {
     for (String key : List.of("prices.connection", "prices.handshake", "prices.crossZone")) {
-      check(settings.number(key, 0) >= 0, settings.key(key), "negative");
+      double price = settings.number(key, 0);
+      check(price >= 0, settings.key(key), "expected 0 or more, got " + price);
     }
   }
 
@@ -119,7 +140,11 @@
   /** Checks one entry of `tenants`, except for its name. */
   static void checkTenant(JsonObjectReader tenant) {
     double quotaPerSecond = PolicySettingsMapper.quotaPerSecond(tenant);
-    check(quotaPerSecond >= 0, tenant.key(PolicySettingsMapper.QUOTA), "negative");
+    boolean isValid = quotaPerSecond >= 0;
+    if (!isValid) {
+      throw new InvalidConfigurationException(
+          tenant.key(PolicySettingsMapper.QUOTA), "expected 0 or more, got " + quotaPerSecond);
+    }
   }
 
   private static void checkLoadReports(Settings settings) {
@@ -128,6 +153,6 @@
     check(
         settings.loadReportMode() != LoadReportMode.BY_PROBE || settings.flag("limits.probing"),
         settings.key("limits.probing"),
-        "not true, yet reports come with probes alone");
+        "expected true, as report.how is probe");
   }
 }
--- a/proxy/src/main/java/wheattrack/config/SocketAddressParser.java
+++ b/proxy/src/main/java/wheattrack/config/SocketAddressParser.java
@@ -30,12 +30,13 @@
             && Integer.parseInt(port) <= MAX_PORT;
     if (!isValid) {
       throw new InvalidConfigurationException(
-          key, "not an address in figures with a port: " + text);
+          key, "expected a numeric IP address with a port, got " + text);
     }
     try {
       return new InetSocketAddress(InetAddress.getByName(host), Integer.parseInt(port));
     } catch (UnknownHostException e) {
-      throw new InvalidConfigurationException(key, "not an address: " + text);
+      throw new InvalidConfigurationException(
+          key, "expected a numeric IP address with a port, got " + text);
     }
   }
 }
--- a/proxy/src/test/java/wheattrack/config/DynamicSettingsTest.java
+++ b/proxy/src/test/java/wheattrack/config/DynamicSettingsTest.java
@@ -158,7 +158,8 @@
                         + String.join(",", tenants)
                         + "]}"));
     assertTrue(
-        exception.getMessage().contains("100001 are over the 100000"), exception.getMessage());
+        exception.getMessage().contains("expected at most 100000 entries, got 100001"),
+        exception.getMessage());
     assertEquals(stateBefore, state());
   }
 
--- a/proxy/src/test/java/wheattrack/config/JsonObjectReaderTest.java
+++ b/proxy/src/test/java/wheattrack/config/JsonObjectReaderTest.java
@@ -54,20 +54,23 @@
 
   static Stream<Arguments> faultyReadings() {
     return Stream.of(
-        reading(object -> object.number("a.text", 0), "a.text: not a number"),
-        reading(object -> object.flag("a.text"), "a.text: neither true nor false"),
-        reading(object -> object.text("a.number"), "a.number: not a text"),
-        reading(object -> object.list("a.text"), "a.text: not a list"),
-        reading(object -> object.section("a.text"), "a.text: not an object"),
-        reading(object -> object.any("a.text.nested"), "a.text: not an object"),
-        reading(object -> object.text("a.missing"), "a.missing: missing"),
-        reading(object -> object.text("a.empty"), "a.empty: missing"),
-        reading(object -> object.time("a.number", 0), "a.number: negative"),
-        reading(object -> object.section("a").text("number"), "a.number: not a text"),
+        reading(object -> object.number("a.text", 0), "a.text: expected a number, got a string"),
+        reading(object -> object.flag("a.text"), "a.text: expected true or false, got a string"),
+        reading(object -> object.text("a.number"), "a.number: expected a string, got a number"),
+        reading(object -> object.list("a.text"), "a.text: expected a list, got a string"),
+        reading(object -> object.section("a.text"), "a.text: expected an object, got a string"),
+        reading(object -> object.any("a.text.nested"), "a.text: expected an object, got a string"),
+        reading(object -> object.text("a.missing"), "a.missing: missing or empty"),
+        reading(object -> object.text("a.empty"), "a.empty: missing or empty"),
+        reading(object -> object.time("a.number", 0), "a.number: expected 0 or more, got -1.0"),
+        reading(
+            object -> object.section("a").text("number"),
+            "a.number: expected a string, got a number"),
         reading(
             object -> object.section("a").sections("list").get(0).text("id"),
-            "a.list[0].id: missing"),
-        reading(object -> object.sections("a.mixed"), "a.mixed[1]: not an object"));
+            "a.list[0].id: missing or empty"),
+        reading(
+            object -> object.sections("a.mixed"), "a.mixed[1]: expected an object, got a number"));
   }
 
   private static Arguments reading(Consumer<JsonObjectReader> reading, String message) {
--- a/proxy/src/test/java/wheattrack/config/LargeConfigTest.java
+++ b/proxy/src/test/java/wheattrack/config/LargeConfigTest.java
@@ -56,7 +56,7 @@
   @Test
   void tooLargeFileIsRejected() throws Exception {
     assertEquals(
-        "2 wheattrack check: DIR/config.json: N bytes, over the N that the heap allows",
+        "2 wheattrack check: DIR/config.json: expected at most N bytes for this heap size, got N",
         check(430_000));
     assertTrue(check(60_000).startsWith("0 good"), check(60_000)); // near the limit: it is read
   }
--- a/proxy/src/test/java/wheattrack/config/MigrateCommandTest.java
+++ b/proxy/src/test/java/wheattrack/config/MigrateCommandTest.java
@@ -81,17 +81,17 @@
     }
   }
 
-  /** Each thing left to the operator has its line; the new file passes the check. */
+  /** Each key that is left to the operator has a line; the new file is valid. */
   @Test
   void migratesWithRemarks() throws Exception {
     assertEquals(1, migrateWithAllOptions());
     assertEquals(
         """
-        seed: left out, each proxy draws its own at its start
-        settings.rules.budgetSpan: left out, further dispatches are held to no budget now
-        settings.report: name the answers' header in the operators' file, answers-header
-        settings.prices.crossZone: left out, nothing is crossed in one place
-        settings.ruleSets[0].group: zone is all of the one place, see if that is meant""",
+        seed: removed, each proxy draws a random one at its start
+        settings.rules.budgetSpan: removed, retries and hedged requests no longer have a budget
+        settings.report: set the response header in the operators' file, key answers-header
+        settings.prices.crossZone: removed, no request crosses zones where there is only one
+        settings.ruleSets[0].group: zone now covers all of the only zone, check that this is intended""",
         errors);
     ProxyConfig migrated = ProxyConfig.read(newFile);
     assertEquals(400, migrated.settings().integer("balancers", 0));
@@ -106,7 +106,7 @@
     migrateWithAllOptions();
     String migrated = Files.readString(newFile);
     assertEquals(2, migrateWithAllOptions());
-    assertEquals("wheattrack migrate: old.json: --out: new.json is there already", errors);
+    assertEquals("wheattrack migrate: old.json: --out: new.json exists already", errors);
     assertEquals(migrated, Files.readString(newFile));
     assertEquals(2, fileCount());
   }
@@ -115,21 +115,21 @@
   void migratedFileIsNotMigratedAgain() throws Exception {
     migrateWithAllOptions();
     assertEquals(0, migrate(newFile.toString(), "--dry-run"));
-    assertEquals("new.json: is of the new shape already, nothing is written", errors);
+    assertEquals("new.json: has the shape per-client already, nothing is written", errors);
     assertEquals(2, fileCount());
   }
 
   @Test
   void dryRunChangesNothing() throws Exception {
     assertEquals(1, migrate(oldFile.toString(), "--dry-run", "--reports", "none"));
-    assertTrue(errors.contains("settings.balancers: as it was"), errors);
+    assertTrue(errors.contains("settings.balancers: not changed"), errors);
     assertTrue(output.contains("\"shape\" : \"per-client\""), output);
     assertEquals(1, fileCount());
   }
 
   /**
-   * The old file has no limits: the result was once rejected, as probing was set in a section that
-   * it did not have.
+   * Guards against a result that is rejected because probing is set in a section `limits` that is
+   * missing from the old file and so from the result.
    */
   @Test
   void probeReportsWithoutLimitsSection() throws Exception {
@@ -143,10 +143,12 @@
       delimiter = '|',
       quoteCharacter = '~',
       value = {
-        "--me|2|--me: 2 of 2 proxies contradicts settings.balancers and settings.me",
-        "--place|c|--place: 'c' contradicts settings.zones, [a, b]",
-        "--reports|probe|--reports: probe contradicts settings.limits.probing, which is false",
-        "--balancers|many|--balancers: not a whole number: many"
+        "--me|2|--me: expected settings.me to be 0 or more and less than "
+            + "settings.balancers (2), got 2",
+        "--place|c|--place: expected one of settings.zones, [a, b], got 'c'",
+        "--reports|probe|--reports: expected another mode than probe, "
+            + "as settings.limits.probing is false",
+        "--balancers|many|--balancers: expected a whole number, got many"
       })
   void invalidOptionWritesNothing(String option, String value, String message) {
     assertFails("old.json: " + message, oldFile, option, value);
@@ -157,9 +159,9 @@
       delimiter = '|',
       quoteCharacter = '~',
       value = {
-        "[{\"name\": \"t\", \"quotaPerS\": 50}]|7|settings.tenants: not a list",
+        "[{\"name\": \"t\", \"quotaPerS\": 50}]|7|settings.tenants: expected a list, got a number",
         "\"zone\": 1|\"zoned\": 1|settings.zoned: unknown key",
-        "\"zone\": 1|\"zone\": 2|settings.zone: not a place in zones"
+        "\"zone\": 1|\"zone\": 2|settings.zone: expected an index in zones, from 0 to 1, got 2"
       })
   void invalidOldFileWritesNothing(String original, String replacement, String message)
       throws Exception {
--- a/proxy/src/test/java/wheattrack/config/OperatorConfigTest.java
+++ b/proxy/src/test/java/wheattrack/config/OperatorConfigTest.java
@@ -40,23 +40,25 @@
   static Stream<Arguments> faultyFiles() {
     return Stream.of(
         arguments(
-            "[log]\nformat = \"xml\"\n", "o.toml:2: log.format: 'xml' is none of [plain, json]"),
+            "[log]\nformat = \"xml\"\n",
+            "o.toml:2: log.format: expected one of [plain, json], got 'xml'"),
         arguments("\n[log]\nformat = \"json\"\nlines = 3\n", "o.toml:4: log.lines: unknown key"),
         arguments("[logs]\nformat = \"json\"\n", "o.toml:1: logs: unknown key"),
         arguments(
             "[log]\nlines-per-second = -1\n",
-            "o.toml:2: log.lines-per-second: -1.0 is not from 0.0 to 1000000.0"),
+            "o.toml:2: log.lines-per-second: expected a number from 0.0 to 1000000.0, got -1.0"),
         arguments(
-            "[log]\nlines-per-second = 1.5\n", "o.toml:2: log.lines-per-second: 1.5 is not whole"),
-        arguments("[log]\nreqs = 1\n", "o.toml:2: log.reqs: not true or false"),
-        arguments("log = 3\n", "o.toml:1: log: not a table"),
+            "[log]\nlines-per-second = 1.5\n",
+            "o.toml:2: log.lines-per-second: expected a whole number, got 1.5"),
+        arguments("[log]\nreqs = 1\n", "o.toml:2: log.reqs: expected true or false, got a number"),
+        arguments("log = 3\n", "o.toml:1: log: expected a table, got a number"),
         arguments(
             "[settings]\nsource = \"here\"\n",
-            "o.toml:2: settings.source: not an address in figures with a port: here"),
+            "o.toml:2: settings.source: expected a numeric IP address with a port, got here"),
         arguments(
             "[settings]\nscope = \"a b\"\n",
-            "o.toml:2: settings.scope: no names of letters, figures, '.', "
-                + "'_', '-' by commas, 256 at most"));
+            "o.toml:2: settings.scope: expected at most 256 names separated by commas,"
+                + " each of 1 to 64 letters, digits, '.', '_' and '-'"));
   }
 
   @ParameterizedTest
--- a/proxy/src/test/java/wheattrack/config/ProxyConfigTest.java
+++ b/proxy/src/test/java/wheattrack/config/ProxyConfigTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import wheattrack.testing.TraceRecorder;
 
-/** The proxy's file of the first format. */
+/** Reads and validates the proxy's JSON file. */
 class ProxyConfigTest {
   private static final String VALID =
       "'listen':'127.0.0.1:8000','discovery':'[::1]:8500',"
@@ -66,7 +66,7 @@
     }
   }
 
-  /** A wrong value ends the start with one line that names its key. */
+  /** The error for an invalid value is one line that names its key. */
   @Test
   void validFileIsReadAndErrorNamesTheKey() throws Exception {
     TraceRecorder recorder = new TraceRecorder();
@@ -77,7 +77,9 @@
     recorder.assertMatches("config");
   }
 
-  /** The build trains a start with the example's file, also where its port is in use. */
+  /**
+   * The build runs a training start with the example's file, even while the file's port is in use.
+   */
   @Test
   void trainingStartListensOnAnyFreePort() throws IOException {
     TraceRecorder recorder = new TraceRecorder();
--- a/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
+++ b/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
@@ -66,12 +66,12 @@
   @Test
   void faultsNameTheKey() throws IOException {
     String[][] cases = {
-      {"{'state':'SERVING'}", "uid: missing"},
-      {"{'uid':6,'state':'SERVING'}", "uid: not a text"},
-      {"{'uid':'s'}", "state: missing"},
+      {"{'state':'SERVING'}", "uid: missing or empty"},
+      {"{'uid':6,'state':'SERVING'}", "uid: expected a string, got a number"},
+      {"{'uid':'s'}", "state: missing or empty"},
       {"{'uid':'s','state':'ASLEEP'}", "state: unknown: ASLEEP"},
       {"{'uid':'s','state':'serving'}", "state: unknown: serving"},
-      {"{'uid':'s','state':'SERVING'}", "endpoint: missing"},
+      {"{'uid':'s','state':'SERVING'}", "endpoint: missing or empty"},
     };
     for (String[] testCase : cases) {
       JsonObjectReader entry = json(testCase[0]);
