--- a/proxy/src/main/java/wheattrack/config/MigrateCommand.java
+++ b/proxy/src/main/java/wheattrack/config/MigrateCommand.java
@@ -29,8 +29,8 @@
         --reports HOW     how backends report their load: none, answers or probe
         --place NAME      the only zone of the new configuration, one of the old zones
         --listen ADDRESS  the address where this proxy's client connects
-      Each key that was not migrated is listed on standard error, one per line.
-      exit codes: 0 migrated, or nothing to do; 1 migrated, with keys left to you; 2 bad input""";
+      Each key that was removed or needs your attention is listed on standard error, one per line.
+      exit codes: 0 migrated, or nothing to do; 1 migrated, with keys listed; 2 bad input""";
 
   private static final String[] VALUE_OPTIONS = {
     "out", "balancers", "me", "reports", "place", "listen"
--- a/proxy/src/main/java/wheattrack/config/Migration.java
+++ b/proxy/src/main/java/wheattrack/config/Migration.java
@@ -9,7 +9,7 @@
 import wheattrack.api.DeduplicationScope;
 
 /**
- * The counterpart of a pool's configuration for a deployment where each client process has a proxy
+ * Converts a pool's configuration into one for a deployment where each client process has a proxy
  * of its own. Does no I/O. Errors are {@link InvalidConfigurationException} and name the key or the
  * option. Times stay as the file has them, in microseconds.
  */
--- a/proxy/src/main/java/wheattrack/config/TimeConversion.java
+++ b/proxy/src/main/java/wheattrack/config/TimeConversion.java
@@ -11,16 +11,17 @@
   /** Ticks in a millisecond. */
   static final int TICKS_PER_MILLISECOND = 10;
 
+  /** The largest cost that a hint stands for, in ticks. */
   private static final int MAX_COST = Integer.MAX_VALUE / 4;
 
   private TimeConversion() {}
 
-  /** The ticks that have passed completely at a time of this many microseconds. */
+  /** The number of whole ticks in this many microseconds. */
   public static long ticksRoundedDown(long micros) {
     return Math.floorDiv(micros, (long) MICROS_PER_TICK);
   }
 
-  /** The first tick that is not before a time of this many microseconds. */
+  /** The smallest number of ticks that takes at least this many microseconds. */
   public static long ticksRoundedUp(long micros) {
     return ticksRoundedDown(micros + MICROS_PER_TICK - 1);
   }
