--- a/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
+++ b/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
@@ -66,9 +66,9 @@
   @Test
   void errorsNameTheKey() throws IOException {
     String[][] cases = {
-      {"{'state':'SERVING'}", "uid: missing"},
-      {"{'uid':6,'state':'SERVING'}", "uid: not a text"},
-      {"{'uid':'s'}", "state: missing"},
+      {"{'state':'SERVING'}", "uid: missing or empty"},
+      {"{'uid':6,'state':'SERVING'}", "uid: expected a string, got a number"},
+      {"{'uid':'s'}", "state: missing or empty"},
       {
         "{'uid':'s','state':'ASLEEP'}",
         "state: expected SERVING, DRAINING or DELETED, got ASLEEP for uid s"
@@ -77,7 +77,7 @@
         "{'uid':'s','state':'serving'}",
         "state: expected SERVING, DRAINING or DELETED, got serving for uid s"
       },
-      {"{'uid':'s','state':'SERVING'}", "endpoint: missing"},
+      {"{'uid':'s','state':'SERVING'}", "endpoint: missing or empty"},
     };
     for (String[] testCase : cases) {
       JsonObjectReader entry = json(testCase[0]);
