--- a/lab/src/main/java/wheattrack/lab/ScenarioRunner.java
+++ b/lab/src/main/java/wheattrack/lab/ScenarioRunner.java
@@ -54,7 +54,7 @@
   }
 
   private static ExitCode exitCode(Verdict verdict) {
-    return verdict.isGood() ? ExitCode.GOOD : ExitCode.FELL_SHORT;
+    return verdict.meetsExpectations() ? ExitCode.GOOD : ExitCode.FELL_SHORT;
   }
 
   private static Verdict runVirtual(Scenario scenario, RunOptions options) throws IOException {
--- a/lab/src/main/java/wheattrack/lab/referee/AnswerRule.java
+++ b/lab/src/main/java/wheattrack/lab/referee/AnswerRule.java
@@ -5,7 +5,10 @@
 
 /** Judges {@link Rule#ANSWERS}: one final answer to each request, and nothing sent after it. */
 final class AnswerRule extends RuleChecker {
-  /** How far the lab's own clocks and sends may be off. */
+  /**
+   * Largest lateness that is no violation, in tenths of a millisecond: it covers the inaccuracy of
+   * the lab's own clocks and sends.
+   */
   private final long tolerance;
 
   private long lost;
@@ -16,74 +19,83 @@
   }
 
   void judgeDuplicateId(LedgerRecord entry) {
-    violate(entry.at(), "req " + entry.request() + " was taken twice under one id");
+    addViolation(
+        entry.at(), "req " + entry.request() + " was accepted twice, expected one request per id");
   }
 
   void judgeUnknownRequest(LedgerRecord entry) {
-    violate(entry.at(), "an answer to req " + entry.request() + ", which was never taken");
+    addViolation(
+        entry.at(), "req " + entry.request() + " was answered, but no proxy had accepted it");
   }
 
-  /** A connection ended without an answer: a loss unless the proxy was down or the client left. */
+  /**
+   * A connection ended without an answer: the request is lost unless the proxy was down or the
+   * client had disconnected.
+   */
   void judgeLostConnection(TrackedRequest request, LedgerRecord entry) {
     if (run().isProxyDown(request.proxy(), entry.at())) {
-      request.excuse();
+      request.waiveAnswer();
     }
-    if (!request.isExcused() && !request.isDisconnected()) {
+    if (!request.isAnswerWaived() && !request.isDisconnected()) {
       lost++;
-      violate(entry.at(), "req " + entry.request() + ": its connection ended without an answer");
+      addViolation(
+          entry.at(), "req " + entry.request() + ": expected an answer, got the connection's end");
     }
-    request.excuse();
+    request.waiveAnswer();
   }
 
-  /** Takes in a final answer; returns whether it is the request's first. */
+  /** Checks a final answer; returns whether it is the request's first. */
   boolean judgeAnswer(TrackedRequest request, LedgerRecord entry) {
     int answers = request.countAnswer();
     if (answers > 1) {
-      violate(entry.at(), "req " + entry.request() + " was answered " + answers + " times");
+      addViolation(entry.at(), "req " + entry.request() + ": expected 1 answer, got " + answers);
       return false;
     }
     request.setAnswer(entry.answer(), entry.at());
     long lateness = entry.at() - request.deadline();
     if (lateness > tolerance) {
-      violate(
+      addViolation(
           entry.at(),
           "req "
               + entry.request()
               + " was answered "
               + lateness / Scenario.MILLISECOND
-              + " ms past its due");
+              + " ms after its deadline");
     }
     return true;
   }
 
+  /** An attempt that arrives after the request's answer or deadline violates the rule. */
   void judgeAttempt(TrackedRequest request, LedgerRecord entry) {
     long lateness = entry.at() - request.closedAt();
     if (lateness > tolerance) {
-      violate(
+      addViolation(
           entry.at(),
           "req "
               + entry.request()
-              + " was sent on "
-              + lateness / 10
-              + " ms after its answer or due");
+              + " was sent to backend "
+              + entry.backend()
+              + ", "
+              + lateness / Scenario.MILLISECOND
+              + " ms after its answer or deadline");
     }
   }
 
-  /** Ends the run: what has no answer by now although its deadline has passed is lost. */
+  /** Ends the run: a request without an answer whose deadline has passed is lost. */
   void finish(long lastAt) {
     for (Map.Entry<Long, TrackedRequest> entry : run().requests().entrySet()) {
       TrackedRequest request = entry.getValue();
       if (!request.isAnswered()
           && !request.isDisconnected()
-          && !request.isExcused()
+          && !request.isAnswerWaived()
           && request.deadline() + tolerance < lastAt) {
         lost++;
-        violate(request.deadline(), "req " + entry.getKey() + " was never answered");
+        addViolation(request.deadline(), "req " + entry.getKey() + " was never answered");
       }
     }
   }
 
-  /** Requests that were never answered, for no fault of the timeline. */
+  /** Requests that were never answered although no fault of the timeline explains it. */
   long lost() {
     return lost;
   }
--- a/lab/src/main/java/wheattrack/lab/referee/ColdBudget.java
+++ b/lab/src/main/java/wheattrack/lab/referee/ColdBudget.java
@@ -4,11 +4,18 @@
 
 /**
  * The load that a backend which has just started sustains from all proxies together. Let N be the
- * requests of mean work that make up a given multiple of its momentary capacity over a window of
- * time; it collapses when a window holds more than N + 2 * sqrt(N) + 2, the excess over N being put
- * down to chance. Times are in tenths of a millisecond. Not thread-safe.
+ * number of requests of mean work that equals a given multiple of the backend's current capacity
+ * over a window of time. The backend collapses when the work that arrives in a window exceeds that
+ * of N + 2 * sqrt(N) + 2 requests; the margin over N allows for random variation of the arrivals.
+ * Times are in tenths of a millisecond. Not thread-safe.
  */
 public final class ColdBudget {
+  /** Standard deviations, sqrt(N) each, of the margin over N. */
+  private static final double MARGIN_DEVIATIONS = 2;
+
+  /** Requests of mean work that the margin over N has besides. */
+  private static final double MARGIN_REQUESTS = 2;
+
   private record Arrival(long at, double work, boolean isInformed) {}
 
   private final double multiple;
@@ -23,8 +30,8 @@
    * Creates an empty budget.
    *
    * @param multiple the multiple of its capacity that the backend sustains
-   * @param window length of the window
-   * @param meanWork the work of a mean request
+   * @param window length of the window in tenths of a millisecond
+   * @param meanWork mean work of a request, in tenths of a millisecond at speed 1
    */
   public ColdBudget(double multiple, long window, double meanWork) {
     this.multiple = multiple;
@@ -32,7 +39,7 @@
     this.meanWork = meanWork;
   }
 
-  /** Forgets the load so far: the backend has started again. */
+  /** Forgets the load so far; called when the backend has started again. */
   public void clear() {
     arrivals.clear();
     windowWork = 0;
@@ -43,7 +50,9 @@
    * Adds an arrival and says whether the backend collapses under it. One request alone never makes
    * it collapse, however heavy.
    *
-   * @param capacity the work per unit of time that it can do now
+   * @param at when it arrives; not before the arrivals already added
+   * @param work its work, in tenths of a millisecond at speed 1
+   * @param capacity the work per unit of time that the backend can do now
    * @param isInformed whether the sender had been notified of the start
    */
   public boolean add(long at, double work, double capacity, boolean isInformed) {
@@ -56,7 +65,9 @@
     arrivals.add(new Arrival(at, work, isInformed));
     windowWork += work;
     informedWork += isInformed ? work : 0;
-    return !isFirst && windowWork / meanWork > sustainable + 2 * Math.sqrt(sustainable) + 2;
+    return !isFirst
+        && windowWork / meanWork
+            > sustainable + MARGIN_DEVIATIONS * Math.sqrt(sustainable) + MARGIN_REQUESTS;
   }
 
   private void expire(long now) {
@@ -67,12 +78,18 @@
     }
   }
 
-  /** Whether over two thirds of the load came from notified senders, which makes it a violation. */
-  public boolean isSendersFault() {
+  /**
+   * Whether more than two thirds of the work in the window came from senders that had been notified
+   * of the start, so that a collapse is a violation.
+   */
+  public boolean isCausedByInformedSenders() {
     return informedWork > windowWork * 2 / 3;
   }
 
-  /** The highest number of requests in a window at an arrival, as a multiple of N. */
+  /**
+   * The most work that a window held when a request arrived, that request excluded, as a multiple
+   * of the work of N requests.
+   */
   public double peakLoad() {
     return peakLoad;
   }
--- a/lab/src/main/java/wheattrack/lab/referee/ColdStartRule.java
+++ b/lab/src/main/java/wheattrack/lab/referee/ColdStartRule.java
@@ -2,7 +2,10 @@
 
 import wheattrack.lab.scenario.Scenario;
 
-/** Judges {@link Rule#COLD}: informed proxies make no backend collapse while it warms up. */
+/**
+ * Judges {@link Rule#COLD}: proxies that know of a cold start make no backend collapse while it
+ * warms up.
+ */
 final class ColdStartRule extends RuleChecker {
   private final Scenario scenario;
   private double peakLoad;
@@ -13,7 +16,7 @@
     this.scenario = scenario;
   }
 
-  /** Every attempt that reaches a cold backend counts, those that it refuses too. */
+  /** Every attempt that reaches a cold backend counts, including those that it rejects. */
   void judgeAttempt(LedgerRecord entry) {
     TrackedBackend backend = run().backend(entry.backend());
     if (!backend.hasColdBudget()) {
@@ -35,27 +38,24 @@
     if (collapses && !backend.hasCollapsed()) {
       backend.markCollapsed();
       this.collapses++;
-      if (budget.isSendersFault()) {
-        violate(
+      if (budget.isCausedByInformedSenders()) {
+        addViolation(
             entry.at(),
-            "server "
+            "backend "
                 + entry.backend()
-                + " was pushed over "
+                + " collapsed "
                 + age / Scenario.MILLISECOND
-                + " ms after its start");
+                + " ms after its cold start, under load of proxies that knew of the start");
       }
     }
   }
 
-  /**
-   * The highest load of a cold backend, as a multiple of what it sustains without the allowance for
-   * chance.
-   */
+  /** The highest load of a cold backend, as a multiple of what it sustains without the margin. */
   double peakLoad() {
     return peakLoad;
   }
 
-  /** Backends that collapsed, whoever is at fault. */
+  /** Collapses of cold backends, including those that are no violation. */
   int collapses() {
     return collapses;
   }
--- a/lab/src/main/java/wheattrack/lab/referee/EffectRule.java
+++ b/lab/src/main/java/wheattrack/lab/referee/EffectRule.java
@@ -6,7 +6,7 @@
 import wheattrack.lab.referee.LedgerRecord.Answer;
 import wheattrack.lab.scenario.Scenario;
 
-/** Judges {@link Rule#EFFECTS}: nothing is executed again that its class forbids. */
+/** Judges {@link Rule#EFFECTS}: no request is executed again where its class forbids it. */
 final class EffectRule extends RuleChecker {
   private final Scenario scenario;
   private double executedWork;
@@ -18,27 +18,33 @@
   }
 
   void judgeUnknownAttempt(LedgerRecord entry) {
-    violate(
+    addViolation(
         entry.at(),
-        "server "
+        "backend "
             + entry.backend()
             + " got req "
             + entry.request()
-            + ", which no client sent in this form");
+            + ", but no proxy had accepted a request of this id");
   }
 
   /**
-   * A rejection says that a new request does no harm: not so where the rejected one was executed
-   * and must not be again.
+   * A rejection tells the client that it may safely send the request again. It is a violation if
+   * the rejected request was executed and its class doesn't permit a second execution by any
+   * backend.
    */
   void judgeRejection(TrackedRequest request, LedgerRecord entry) {
     RequestClass requestClass = run().requestClassOf(request);
-    if (request.isExecuted() && requestClass != null && !mayRunAnywhere(requestClass)) {
-      violate(entry.at(), "req " + entry.request() + " was denied, though it has run");
+    if (request.isExecuted() && requestClass != null && !mayBeExecutedAnywhere(requestClass)) {
+      addViolation(
+          entry.at(),
+          "req "
+              + entry.request()
+              + " was rejected, but was executed and may not be executed again");
     }
   }
 
-  private static boolean mayRunAnywhere(RequestClass requestClass) {
+  /** Whether any backend may execute a request of this class again. */
+  private static boolean mayBeExecutedAnywhere(RequestClass requestClass) {
     return switch (requestClass.idempotency()) {
       case NON_IDEMPOTENT -> false;
       case IDEMPOTENT_WITH_KEY -> requestClass.deduplicationScope() == DeduplicationScope.ALL;
@@ -46,6 +52,7 @@
     };
   }
 
+  /** Counts an execution, and judges it if it repeats another one or follows a rejection. */
   void judgeExecution(LedgerRecord entry) {
     executedWork += entry.work();
     TrackedRequest request = run().request(entry.request());
@@ -68,11 +75,19 @@
       return;
     }
     if (requestClass.idempotency() == Idempotency.NON_IDEMPOTENT) {
-      violate(
-          entry.at(), "req " + entry.request() + " ran " + executions + " times and may only once");
+      addViolation(
+          entry.at(), "req " + entry.request() + ": expected 1 execution, got " + executions);
     } else if (requestClass.idempotency() == Idempotency.IDEMPOTENT_WITH_KEY
         && !isDeduplicated(request, requestClass, entry)) {
-      violate(entry.at(), "req " + entry.request() + " ran again outside its group or window");
+      addViolation(
+          entry.at(),
+          "req "
+              + entry.request()
+              + " was executed again by backend "
+              + entry.backend()
+              + ", after backend "
+              + request.firstBackend()
+              + ", outside its deduplication scope or window");
     }
   }
 
@@ -82,6 +97,7 @@
         && shareKeys(requestClass.deduplicationScope(), request.firstBackend(), entry.backend());
   }
 
+  /** Whether two backends deduplicate requests by the same set of keys. */
   private boolean shareKeys(DeduplicationScope scope, int backend, int other) {
     return switch (scope) {
       case ZONE -> scenario.zoneOf(backend) == scenario.zoneOf(other);
@@ -90,7 +106,7 @@
     };
   }
 
-  /** The part of all executed work that was executed for a request once more. */
+  /** The share of the executed work that was spent on requests executed before. */
   double repeatedShare() {
     return executedWork > 0 ? repeatedWork / executedWork : 0;
   }
--- a/lab/src/main/java/wheattrack/lab/referee/Ledger.java
+++ b/lab/src/main/java/wheattrack/lab/referee/Ledger.java
@@ -10,15 +10,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * The form of ledgers on disk: a line for each record, ended by the CRC32C of the text before it,
- * so that an incomplete line shows. {@link LedgerWriter} writes them.
+ * The format of ledger files: a line of fields, separated by spaces, for each record. The last
+ * field is the CRC32C of the text before it, in hexadecimal, so that incomplete and corrupt lines
+ * are detected. {@link LedgerWriter} writes them.
  */
 public final class Ledger {
+  /** Fields of a line, its checksum included. */
   private static final int FIELDS = 9;
 
   private Ledger() {}
 
-  /** One record as a line of the ledger, its newline included. */
+  /** Returns one record as a line of the ledger, its newline included. */
   static String format(LedgerRecord entry) {
     String text =
         entry.kind().keyword()
@@ -47,13 +49,16 @@
   }
 
   /**
-   * One writer's records, their times by the run's clock. Throws InvalidLedgerException where a
-   * line is corrupt or the last one is missing, and IOException if the file can't be read.
+   * Reads one writer's records and converts their times to the run's clock.
+   *
+   * @throws InvalidLedgerException if a line is corrupt or the record END is missing
+   * @throws IOException if the file can't be read
    */
   public static List<LedgerRecord> read(Path file) throws IOException {
     String text = Files.readString(file, StandardCharsets.US_ASCII);
     if (!text.isEmpty() && !text.endsWith("\n")) {
-      throw new InvalidLedgerException(file.getFileName() + ": torn at its end");
+      throw new InvalidLedgerException(
+          file.getFileName() + ": truncated: the last line has no newline");
     }
     List<LedgerRecord> records = new ArrayList<>();
     long clockOffset = 0;
@@ -68,16 +73,18 @@
       }
     }
     if (records.isEmpty() || records.get(records.size() - 1).kind() != LedgerRecord.Kind.END) {
-      throw new InvalidLedgerException(file.getFileName() + ": has no end");
+      throw new InvalidLedgerException(
+          file.getFileName() + ": truncated: expected END as the last record");
     }
     return records;
   }
 
-  private static LedgerRecord parse(String place, String line) throws InvalidLedgerException {
+  private static LedgerRecord parse(String location, String line) throws InvalidLedgerException {
     String[] fields = line.split(" ");
-    String checked = line.substring(0, Math.max(0, line.lastIndexOf(' ')));
-    if (fields.length != FIELDS || !checksum(checked).equals(fields[FIELDS - 1])) {
-      throw new InvalidLedgerException(place + ": torn");
+    String checkedText = line.substring(0, Math.max(0, line.lastIndexOf(' ')));
+    if (fields.length != FIELDS || !checksum(checkedText).equals(fields[FIELDS - 1])) {
+      throw new InvalidLedgerException(
+          location + ": corrupt: expected " + FIELDS + " fields, the last one the others' CRC32C");
     }
     try {
       return new LedgerRecord(
@@ -90,11 +97,16 @@
           Double.parseDouble(fields[6]),
           Integer.parseInt(fields[7]));
     } catch (IllegalArgumentException e) {
-      throw new InvalidLedgerException(place + ": torn");
+      throw new InvalidLedgerException(location + ": invalid field: " + e.getMessage());
     }
   }
 
-  /** All writers' records of a run in order of time; those of one moment stay in file order. */
+  /**
+   * Reads the records of all writers of a run, sorted by time; equal times keep the order of files.
+   *
+   * @throws InvalidLedgerException if a file is truncated or corrupt
+   * @throws IOException if a file can't be read
+   */
   public static List<LedgerRecord> merge(List<Path> files) throws IOException {
     List<LedgerRecord> records = new ArrayList<>();
     for (Path file : files) {
--- a/lab/src/main/java/wheattrack/lab/referee/LedgerRecord.java
+++ b/lab/src/main/java/wheattrack/lab/referee/LedgerRecord.java
@@ -13,7 +13,7 @@
  * @param backend the backend's index, or -1
  * @param time a second time or number whose meaning depends on the kind
  * @param amount a quantity whose meaning depends on the kind
- * @param code an enum's ordinal, a flag or a request class's index, by the kind
+ * @param code an enum's ordinal, a flag or a request class's index, depending on the kind
  */
 public record LedgerRecord(
     Kind kind, long at, long request, int proxy, int backend, long time, double amount, int code) {
@@ -39,19 +39,19 @@
       this.keyword = keyword;
     }
 
-    /** The first field of such a line. */
+    /** The first field of the lines of this kind. */
     String keyword() {
       return keyword;
     }
 
-    /** The kind that a line begins with; throws IllegalArgumentException for an unknown keyword. */
+    /** The kind of this keyword; throws IllegalArgumentException if there is none. */
     static Kind of(String keyword) {
       for (Kind kind : values()) {
         if (kind.keyword.equals(keyword)) {
           return kind;
         }
       }
-      throw new IllegalArgumentException(keyword);
+      throw new IllegalArgumentException("unknown keyword " + keyword);
     }
   }
 
@@ -94,7 +94,7 @@
         Kind.REQUEST_ACCEPTED, at, request, proxy, NONE, deadline, operation, requestClass);
   }
 
-  /** A final answer's last byte has come, or the connection ended without one. */
+  /** A client received a final answer's last byte, or its connection ended without an answer. */
   public static LedgerRecord answered(long at, long request, Answer answer) {
     return new LedgerRecord(Kind.ANSWERED, at, request, NONE, NONE, 0, 0, answer.ordinal());
   }
@@ -104,15 +104,18 @@
     return new LedgerRecord(Kind.CLIENT_DISCONNECTED, at, request, NONE, NONE, 0, 0, 0);
   }
 
-  /** The first byte of an attempt reached a backend's machine; work: what the request asks for. */
+  /**
+   * The first byte of an attempt reached a backend's machine; work: the work that the request
+   * needs.
+   */
   public static LedgerRecord attemptArrived(
       long at, long request, int proxy, int backend, double work) {
     return new LedgerRecord(Kind.ATTEMPT_ARRIVED, at, request, proxy, backend, 0, work, 0);
   }
 
   /**
-   * A backend began to execute an attempt that had arrived at that time; from here on the request
-   * has had an effect.
+   * A backend began to execute an attempt that had arrived at arrivedAt; from this record on the
+   * request counts as executed.
    */
   public static LedgerRecord executionStarted(
       long at, long request, int proxy, int backend, long arrivedAt, double work) {
@@ -150,8 +153,8 @@
   }
 
   /**
-   * The run's clock shows at while the writer's clock shows writerTime: the writer's later lines
-   * are corrected by the difference.
+   * The run's clock showed {@code at} when the writer's clock showed {@code writerTime}: the times
+   * of the writer's later lines are corrected by the difference.
    */
   public static LedgerRecord clockReading(long at, long writerTime) {
     return new LedgerRecord(Kind.CLOCK, at, 0, NONE, NONE, writerTime, 0, 0);
@@ -162,7 +165,7 @@
     return new LedgerRecord(Kind.END, at, 0, NONE, NONE, 0, 0, 0);
   }
 
-  /** The operation that a client started, or that an accepted request belongs to. */
+  /** Id of the operation that a client started, or that an accepted request belongs to. */
   public long operation() {
     return kind == Kind.OPERATION_STARTED ? request : (long) amount;
   }
@@ -172,12 +175,12 @@
     return code;
   }
 
-  /** What an operation is worth. */
+  /** The value of an operation. */
   public double value() {
     return amount;
   }
 
-  /** When an accepted request has to be answered. */
+  /** The time by which an accepted request has to be answered. */
   public long deadline() {
     return time;
   }
@@ -192,7 +195,7 @@
     return amount;
   }
 
-  /** When the attempt that is now executed had arrived. */
+  /** The time at which the executed attempt had arrived. */
   public long arrivedAt() {
     return time;
   }
@@ -207,7 +210,7 @@
     return time;
   }
 
-  /** What a started backend can do per unit of time once it is warm. */
+  /** The work per unit of time that a started backend can do once it is warm. */
   public double capacity() {
     return amount;
   }
@@ -237,7 +240,7 @@
     return time;
   }
 
-  /** The same record by a clock that is ahead by this much. */
+  /** The same record with its times moved forward by this offset. */
   LedgerRecord shifted(long offset) {
     boolean hasSecondTime =
         kind == Kind.REQUEST_ACCEPTED
--- a/lab/src/main/java/wheattrack/lab/referee/LedgerWriter.java
+++ b/lab/src/main/java/wheattrack/lab/referee/LedgerWriter.java
@@ -20,7 +20,8 @@
   /**
    * Creates the file; throws IOException if it exists or can't be created.
    *
-   * @param flushesEachRecord whether each record is written out at once, not a block at a time
+   * @param flushesEachRecord whether each record is written to the file immediately, instead of
+   *     when the buffer is full
    */
   public LedgerWriter(Path file, boolean flushesEachRecord) throws IOException {
     Writer unbuffered =
--- a/lab/src/main/java/wheattrack/lab/referee/ProxyTotals.java
+++ b/lab/src/main/java/wheattrack/lab/referee/ProxyTotals.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import wheattrack.lab.referee.LedgerRecord.Answer;
 
-/** What one proxy did in a run. */
+/** Counts of one proxy's requests, answers and attempts in a run. */
 public final class ProxyTotals {
   private int accepted;
   private final Map<Answer, Integer> answers = new EnumMap<>(Answer.class);
@@ -34,7 +34,7 @@
     return answers.getOrDefault(answer, 0);
   }
 
-  /** Attempts by the backend's index, in its order. */
+  /** Attempts by the backend's index, in the order of the indexes. */
   public Map<Integer, Integer> attemptsByBackend() {
     return Collections.unmodifiableMap(attemptsByBackend);
   }
--- a/lab/src/main/java/wheattrack/lab/referee/Referee.java
+++ b/lab/src/main/java/wheattrack/lab/referee/Referee.java
@@ -10,9 +10,9 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * Judges a run by its ledger alone: the four rules, and what service there was. Records have to
- * come in order of time. It keeps something for each request and backend of the run, so it is used
- * for one run only. Not thread-safe.
+ * Judges a run by its ledger alone: checks the four rules and measures the service. Records have to
+ * be given in order of time. It holds state for each request and backend, so an instance judges one
+ * run only. Not thread-safe.
  */
 public final class Referee implements Consumer<LedgerRecord> {
   private final Scenario scenario;
@@ -26,7 +26,7 @@
   private final List<LedgerRecord> faults = new ArrayList<>();
   private long lastAt;
 
-  /** Begins to judge a run of this scenario. */
+  /** Creates a referee for one run of this scenario. */
   public Referee(Scenario scenario) {
     this.scenario = scenario;
     long tolerance = scenario.terms().clockSlack();
@@ -70,7 +70,7 @@
       }
       case FAULT_CHANGED -> faults.add(entry);
       default -> {
-        // the other kinds frame the ledger or repeat what is judged here
+        // CLOCK and END belong to the format; collapses are found by the referee itself
       }
     }
   }
@@ -115,7 +115,7 @@
     coldStartRule.judgeAttempt(entry);
   }
 
-  /** Ends the run and gives the verdict; to be called once, after the last record. */
+  /** Ends the run and returns the verdict; to be called once, after the last record. */
   public Verdict verdict() {
     answerRule.finish(lastAt);
     return new Verdict(
@@ -130,11 +130,11 @@
         service.latency());
   }
 
-  /** Metrics by name in the order of the result line. */
+  /** Metrics by name, in the order of the RESULT line. */
   private Map<String, Double> metrics() {
     Map<String, Double> metrics = new LinkedHashMap<>();
-    int broken = violations.counts().values().stream().mapToInt(count -> count).sum();
-    metrics.put(Metric.BROKEN.keyword(), (double) broken);
+    int violationCount = violations.counts().values().stream().mapToInt(count -> count).sum();
+    metrics.put(Metric.BROKEN.keyword(), (double) violationCount);
     violations
         .counts()
         .forEach((rule, count) -> metrics.put(rule.violationMetric().keyword(), (double) count));
@@ -151,11 +151,11 @@
     metrics.put(Metric.LOST.keyword(), (double) answerRule.lost());
     metrics.put(Metric.ATTEMPTS.keyword(), (double) service.attempts());
     metrics.put(Metric.REPEATED_WORK.keyword(), effectRule.repeatedShare());
-    metrics.put(Metric.CROSSINGS.keyword(), service.crossingShare());
+    metrics.put(Metric.CROSSINGS.keyword(), service.crossZoneShare());
     metrics.put(Metric.P50.keyword(), service.latencyMillis(50));
     metrics.put(Metric.P99.keyword(), service.latencyMillis(99));
     metrics.put(Metric.P999.keyword(), service.latencyMillis(99.9));
-    metrics.put(Metric.LATE_DRAIN.keyword(), Scenario.toMillis(drainRule.latestArrival()));
+    metrics.put(Metric.LATE_DRAIN.keyword(), Scenario.toMillis(drainRule.longestDelay()));
     metrics.put(Metric.COLD_LOAD.keyword(), coldStartRule.peakLoad());
     metrics.put(Metric.COLLAPSES.keyword(), (double) coldStartRule.collapses());
     return metrics;
--- a/lab/src/main/java/wheattrack/lab/referee/Rule.java
+++ b/lab/src/main/java/wheattrack/lab/referee/Rule.java
@@ -8,9 +8,9 @@
   ANSWERS("answers", Metric.BROKEN_ANSWERS),
   /** No request has an effect that its class forbids. */
   EFFECTS("effects", Metric.BROKEN_EFFECTS),
-  /** No attempt goes to a backend that is known to drain or to be gone. */
+  /** No attempt goes to a backend that its proxy knows to be draining or gone. */
   DRAINS("drains", Metric.BROKEN_DRAINS),
-  /** No backend collapses while it warms up. */
+  /** No backend collapses while it warms up under load of proxies that know of its start. */
   COLD("cold", Metric.BROKEN_COLD);
 
   private final String keyword;
--- a/lab/src/main/java/wheattrack/lab/referee/RuleChecker.java
+++ b/lab/src/main/java/wheattrack/lab/referee/RuleChecker.java
@@ -12,13 +12,13 @@
     this.violations = violations;
   }
 
-  /** What the records have shown so far. */
+  /** The state of the run according to the records so far. */
   final RunState run() {
     return run;
   }
 
   /** Adds a violation of the rule at this time of the run. */
-  final void violate(long at, String description) {
+  final void addViolation(long at, String description) {
     violations.add(rule, at, description);
   }
 }
--- a/lab/src/main/java/wheattrack/lab/referee/RuleViolations.java
+++ b/lab/src/main/java/wheattrack/lab/referee/RuleViolations.java
@@ -5,9 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Collects the violations of a run: each counted, the first few of each rule kept in full. */
+/** Collects the violations of a run: counts all and describes the first ones of each rule. */
 final class RuleViolations {
-  /** Violations of each rule that are described; the rest is counted. */
+  /** Most violations of each rule that are described; further ones are only counted. */
   private static final int MAX_DESCRIBED = 20;
 
   private final Map<Rule, Integer> counts = new EnumMap<>(Rule.class);
--- a/lab/src/main/java/wheattrack/lab/referee/RunState.java
+++ b/lab/src/main/java/wheattrack/lab/referee/RunState.java
@@ -5,7 +5,7 @@
 import wheattrack.api.RequestClass;
 import wheattrack.lab.scenario.Scenario;
 
-/** What the ledger has shown so far of operations, requests, backends and proxies. */
+/** The state of operations, requests, backends and proxies according to the ledger so far. */
 final class RunState {
   private final Scenario scenario;
   private final RequestClass[] requestClasses;
@@ -46,7 +46,7 @@
     return requestClasses[operation.requestClass()];
   }
 
-  /** Takes in an accepted request; returns the earlier one of the same id, or null. */
+  /** Adds an accepted request; returns the earlier one of the same id, or null. */
   TrackedRequest acceptRequest(LedgerRecord entry) {
     return requests.put(
         entry.request(), new TrackedRequest(entry.operation(), entry.proxy(), entry.deadline()));
@@ -62,7 +62,7 @@
     return requests;
   }
 
-  /** The backend of this index, met now for the first time or known. */
+  /** The backend of this index, which is added if it is new. */
   TrackedBackend backend(int index) {
     return backends.computeIfAbsent(index, i -> new TrackedBackend());
   }
@@ -72,17 +72,17 @@
         .start(entry.at(), entry.capacity(), entry.isCold(), scenario.coldBudget());
   }
 
-  /** A proxy was killed: its unanswered requests are lost by the fault, not by the proxy. */
+  /** A proxy was killed: its unanswered requests need no answer, as the fault is the cause. */
   void killProxy(LedgerRecord entry) {
     killedAtByProxy.put(entry.proxy(), entry.at());
     for (TrackedRequest request : requests.values()) {
       if (request.proxy() == entry.proxy() && !request.isAnswered()) {
-        request.excuse();
+        request.waiveAnswer();
       }
     }
   }
 
-  /** A proxy is up: it learns the endpoint list again. */
+  /** A proxy is up: it knows no backend until it is notified of the endpoint list. */
   void startProxy(LedgerRecord entry) {
     killedAtByProxy.remove(entry.proxy());
     backends.values().forEach(backend -> backend.forgetProxy(entry.proxy()));
--- a/lab/src/main/java/wheattrack/lab/referee/ServiceMetrics.java
+++ b/lab/src/main/java/wheattrack/lab/referee/ServiceMetrics.java
@@ -11,21 +11,23 @@
 import wheattrack.lab.scenario.Scenario;
 
 /**
- * Measures the service of a run: values, answers, latency, and how much each proxy sent to each
- * backend.
+ * Measures the service of a run: value offered and earned, answers, latency, and the attempts of
+ * each proxy to each backend.
  */
 final class ServiceMetrics {
   /**
-   * The most work of an attempt that is recorded exactly, in tenths of a millisecond at speed 1.
+   * The most work of an attempt that is recorded, in tenths of a millisecond at speed 1; more
+   * counts as this much.
    */
   private static final long MAX_WORK = 1_000_000;
 
-  /** The highest latency that is recorded exactly: ten minutes. */
+  /** The highest latency that is recorded, ten minutes; a higher one counts as this much. */
   private static final long MAX_LATENCY = 600 * Scenario.SECOND;
 
-  /** Significant digits of recorded values. */
+  /** Significant decimal digits of recorded latencies. */
   private static final int LATENCY_DIGITS = 3;
 
+  /** Significant decimal digits of recorded work. */
   private static final int WORK_DIGITS = 2;
 
   private final Scenario scenario;
@@ -36,7 +38,7 @@
   private final Map<Integer, ProxyTotals> totalsByProxy = new TreeMap<>();
   private final Histogram latency = new Histogram(MAX_LATENCY, LATENCY_DIGITS);
   private long attempts;
-  private long crossings;
+  private long crossZoneAttempts;
   private long done;
   private long rejected;
   private long failed;
@@ -54,7 +56,7 @@
     proxy(proxy).countAccepted();
   }
 
-  /** Counts how a request ended at its proxy, each answer and each lost connection. */
+  /** Counts the end of a request at its proxy: each answer and each lost connection. */
   void countEnding(TrackedRequest request, Answer answer) {
     proxy(request.proxy()).countAnswer(answer);
   }
@@ -79,10 +81,10 @@
     operation.markDone();
     long operationLatency = at - operation.startedAt();
     latency.recordValue(Math.min(latency.getHighestTrackableValue(), operationLatency));
-    second(operation.startedAt()).addEarned(earned(operation, operationLatency));
+    second(operation.startedAt()).addEarned(earnedValue(operation, operationLatency));
   }
 
-  private double earned(TrackedOperation operation, long operationLatency) {
+  private double earnedValue(TrackedOperation operation, long operationLatency) {
     RequestClass requestClass = run.requestClassOf(operation);
     if (operationLatency <= requestClass.latencyObjective()) {
       return operation.value();
@@ -101,7 +103,7 @@
     proxy(entry.proxy()).countAttempt(entry.backend());
     second(entry.at()).countAttempt();
     if (scenario.zoneOf(entry.proxy()) != scenario.zoneOf(entry.backend())) {
-      crossings++;
+      crossZoneAttempts++;
     }
     long[] bySecond =
         attemptsByBackend.computeIfAbsent(
@@ -122,7 +124,10 @@
     return totalsByProxy.computeIfAbsent(index, proxy -> new ProxyTotals());
   }
 
-  /** Value earned over value offered in the seconds that begin in this time span; 1 if none was. */
+  /**
+   * Value earned over value offered in the seconds that begin in this time span; 1 if no value was
+   * offered.
+   */
   double service(long from, long until) {
     double offered = 0;
     double earned = 0;
@@ -136,7 +141,7 @@
     return offered > 0 ? earned / offered : 1;
   }
 
-  /** The lowest share of the complete seconds of the run; 1 if nothing was offered. */
+  /** The lowest earned share of the complete seconds of the run; 1 if no value was offered. */
   double worstSecond() {
     int completeSeconds = (int) (scenario.duration() / Scenario.SECOND);
     return seconds.stream()
@@ -151,9 +156,9 @@
     return attempts;
   }
 
-  /** The part of the attempts that left the proxy's zone. */
-  double crossingShare() {
-    return attempts > 0 ? (double) crossings / attempts : 0;
+  /** The share of the attempts that went to another zone than the proxy's. */
+  double crossZoneShare() {
+    return attempts > 0 ? (double) crossZoneAttempts / attempts : 0;
   }
 
   long done() {
--- a/lab/src/main/java/wheattrack/lab/referee/ServiceSecond.java
+++ b/lab/src/main/java/wheattrack/lab/referee/ServiceSecond.java
@@ -1,8 +1,8 @@
 package wheattrack.lab.referee;
 
 /**
- * Service in one second of the run. Values count in the second in which the operation started,
- * answers and attempts in the second of their arrival.
+ * Service in one second of the run. The value of an operation counts in the second in which it
+ * started, an answer or attempt in the second in which it arrived.
  */
 public final class ServiceSecond {
   private double valueOffered;
@@ -37,12 +37,12 @@
     return valueOffered;
   }
 
-  /** Value of those of them that were done, less where they were late. */
+  /** Value earned by those operations: that of each one done, reduced if it was late. */
   public double valueEarned() {
     return valueEarned;
   }
 
-  /** Whether an operation of any value started, so that there is a share. */
+  /** Whether value was offered, so that {@link #earnedShare} is defined. */
   public boolean hasShare() {
     return valueOffered > 0;
   }
--- a/lab/src/main/java/wheattrack/lab/referee/TrackedBackend.java
+++ b/lab/src/main/java/wheattrack/lab/referee/TrackedBackend.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import wheattrack.lab.referee.LedgerRecord.State;
 
-/** A backend since its last start, with what each proxy was notified of it. */
+/** The state of a backend since its last start, and the state that each proxy was notified of. */
 final class TrackedBackend {
   private long startedAt;
   private double capacity;
@@ -15,7 +15,7 @@
   private final Map<Integer, Long> stateSinceByProxy = new HashMap<>();
   private final Map<Integer, Long> knownStartByProxy = new HashMap<>();
 
-  /** Begins a new incarnation; coldBudget: the load it sustains while it is cold. */
+  /** Begins a new incarnation; budget: the load that it sustains while it is cold. */
   void start(long at, double warmCapacity, boolean asCold, ColdBudget budget) {
     startedAt = at;
     capacity = warmCapacity;
@@ -24,7 +24,7 @@
     coldBudget = budget;
   }
 
-  /** A proxy was notified at that time of this state and, where it is ready, of its last start. */
+  /** A proxy was notified of this state and, if it is READY, of the backend's last start. */
   void notified(int proxy, long at, State state, long knownStart) {
     State previous = stateByProxy.put(proxy, state);
     if (previous != state) {
@@ -35,7 +35,7 @@
     }
   }
 
-  /** A proxy that has started again knows nothing until it is notified. */
+  /** Forgets what a proxy was notified of; called when the proxy has started again. */
   void forgetProxy(int proxy) {
     stateByProxy.remove(proxy);
     stateSinceByProxy.remove(proxy);
@@ -52,7 +52,7 @@
     return stateSinceByProxy.get(proxy);
   }
 
-  /** Whether the proxy was notified of the present start. */
+  /** Whether the proxy was notified of the latest start. */
   boolean isStartKnownTo(int proxy) {
     return knownStartByProxy.getOrDefault(proxy, Long.MIN_VALUE) >= startedAt;
   }
--- a/lab/src/main/java/wheattrack/lab/referee/TrackedRequest.java
+++ b/lab/src/main/java/wheattrack/lab/referee/TrackedRequest.java
@@ -2,7 +2,7 @@
 
 import wheattrack.lab.referee.LedgerRecord.Answer;
 
-/** A request that a proxy accepted, with what has become of it so far. */
+/** A request that a proxy accepted, with its answers and executions so far. */
 final class TrackedRequest {
   private final long operation;
   private final int proxy;
@@ -14,7 +14,7 @@
   private int firstBackend = -1;
   private long firstArrivedAt;
   private boolean isDisconnected;
-  private boolean isExcused;
+  private boolean isAnswerWaived;
 
   TrackedRequest(long operation, int proxy, long deadline) {
     this.operation = operation;
@@ -34,12 +34,12 @@
     return deadline;
   }
 
-  /** Counts a final answer; returns how many there were with it. */
+  /** Counts a final answer; returns the number of answers, this one included. */
   int countAnswer() {
     return ++answers;
   }
 
-  /** Notes the first final answer. */
+  /** Records the first final answer. */
   void setAnswer(Answer first, long at) {
     answer = first;
     answeredAt = at;
@@ -54,12 +54,17 @@
     return answer;
   }
 
-  /** The time after which nothing may be sent for it: the answer or the deadline, if earlier. */
+  /**
+   * The time after which no attempt may be sent: that of the answer or the deadline, the earlier.
+   */
   long closedAt() {
     return Math.min(answeredAt, deadline);
   }
 
-  /** Counts an execution; returns how many there were with it. The first one's place is kept. */
+  /**
+   * Counts an execution; returns the number of executions, this one included. The backend and the
+   * arrival of the first one are recorded.
+   */
   int countExecution(int backend, long arrivedAt) {
     executions++;
     if (executions == 1) {
@@ -78,7 +83,7 @@
     return firstBackend;
   }
 
-  /** When the attempt arrived that was executed first. */
+  /** The time at which the attempt that was executed first had arrived. */
   long firstArrivedAt() {
     return firstArrivedAt;
   }
@@ -92,12 +97,14 @@
     isDisconnected = true;
   }
 
-  /** Whether it need not be answered (any more): its proxy was killed, or its loss is counted. */
-  boolean isExcused() {
-    return isExcused;
+  /**
+   * Whether a missing answer is no (further) loss: its proxy was killed, or its connection ended.
+   */
+  boolean isAnswerWaived() {
+    return isAnswerWaived;
   }
 
-  void excuse() {
-    isExcused = true;
+  void waiveAnswer() {
+    isAnswerWaived = true;
   }
 }
--- a/lab/src/main/java/wheattrack/lab/referee/Verdict.java
+++ b/lab/src/main/java/wheattrack/lab/referee/Verdict.java
@@ -9,14 +9,14 @@
 import wheattrack.lab.scenario.Scenario.Expectation;
 
 /**
- * What the referee found of one run.
+ * The referee's findings on one run.
  *
- * @param metrics the metrics of the result line by name, in its order
- * @param violations the rule violations that are described, in order of finding
+ * @param metrics the metrics of the RESULT line by name, in its order
+ * @param violations the described rule violations, in the order in which they were found
  * @param seconds the service of each second
  * @param attemptsByBackend attempts in each second, by the backend's index
- * @param workByBackend the work of the attempts that each backend got
- * @param totalsByProxy what each proxy did, by its index
+ * @param workByBackend the work of the attempts that arrived at each backend, by its index
+ * @param totalsByProxy the counts of each proxy, by its index
  * @param faults the records of faults that began or ended
  * @param latency tenths of a millisecond from an operation's start to its success
  */
@@ -30,7 +30,7 @@
     Map<Integer, ProxyTotals> totalsByProxy,
     List<LedgerRecord> faults,
     Histogram latency) {
-  /** Above this a metric is not shown as an integer. */
+  /** From this absolute value on a metric is shown with decimals. */
   private static final double MAX_WHOLE_NUMBER = 1e12;
 
   /** The value of a metric. */
@@ -46,11 +46,11 @@
   }
 
   /** Whether all expectations are met. */
-  public boolean isGood() {
+  public boolean meetsExpectations() {
     return unmetExpectations().isEmpty();
   }
 
-  /** The line that a run with this seed ends with. */
+  /** The RESULT line, which ends the output of a run with this seed. */
   public String resultLine(long seed) {
     StringBuilder line =
         new StringBuilder("RESULT ")
@@ -58,13 +58,13 @@
             .append(" seed=")
             .append(seed)
             .append(" ok=")
-            .append(isGood());
+            .append(meetsExpectations());
     metrics.forEach(
         (name, value) -> line.append(' ').append(name).append('=').append(format(value)));
     return line.toString();
   }
 
-  /** A metric without more digits than it has meaning. */
+  /** Formats a metric: whole numbers without decimals, others with four. */
   public static String format(double value) {
     if (value == Math.rint(value) && Math.abs(value) < MAX_WHOLE_NUMBER) {
       return Long.toString((long) value);
--- a/lab/src/main/java/wheattrack/lab/referee/package-info.java
+++ b/lab/src/main/java/wheattrack/lab/referee/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The ledger of a run and its judgement: four rules and the metrics of the service, from what
- * backends and clients have recorded and never from what a proxy says.
+ * The ledger of a run and the referee that judges it by four rules and measures the service. The
+ * records are those of backends, clients and the run itself, never of a proxy.
  */
 package wheattrack.lab.referee;
--- a/lab/src/main/java/wheattrack/lab/report/BackendPlots.java
+++ b/lab/src/main/java/wheattrack/lab/report/BackendPlots.java
@@ -80,8 +80,8 @@
   }
 
   private void addWorkBar(WorkQuantiles work, WorkAxis axis, int top, int barHeight) {
-    double left = axis.x(work.low());
-    double right = axis.x(work.high());
+    double left = axis.x(work.p10());
+    double right = axis.x(work.p90());
     html.add(
         "<rect x='%.1f' y='%d' width='%.1f' height='%d' fill='#1b6ca8' fill-opacity='.45'/>",
         left, top, Math.max(1, right - left), barHeight);
@@ -109,8 +109,8 @@
    */
   private record WorkAxis(double high, double logLow, double logRange) {
     static WorkAxis of(Collection<WorkQuantiles> rows) {
-      double low = rows.stream().mapToDouble(WorkQuantiles::low).min().orElse(Double.MAX_VALUE);
-      double high = rows.stream().mapToDouble(WorkQuantiles::high).max().orElse(1);
+      double low = rows.stream().mapToDouble(WorkQuantiles::p10).min().orElse(Double.MAX_VALUE);
+      double high = rows.stream().mapToDouble(WorkQuantiles::p90).max().orElse(1);
       high = Math.max(1, high);
       double logLow = Math.log(Math.max(MIN_WORK, low));
       return new WorkAxis(high, logLow, Math.max(0.1, Math.log(high) - logLow));
--- a/lab/src/main/java/wheattrack/lab/report/ResultLines.java
+++ b/lab/src/main/java/wheattrack/lab/report/ResultLines.java
@@ -40,7 +40,7 @@
     json.writeStringField("scenario", verdict.scenario().name());
     json.writeNumberField("seed", seed);
     json.writeStringField("policy", policy);
-    json.writeBooleanField("ok", verdict.isGood());
+    json.writeBooleanField("ok", verdict.meetsExpectations());
     json.writeObjectFieldStart("figures");
     for (Map.Entry<String, Double> metric : verdict.metrics().entrySet()) {
       json.writeNumberField(metric.getKey(), metric.getValue());
--- a/lab/src/test/java/wheattrack/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/wheattrack/lab/referee/RefereeTest.java
@@ -12,7 +12,9 @@
 import wheattrack.lab.referee.LedgerRecord.Answer;
 import wheattrack.lab.referee.LedgerRecord.State;
 
-/** Judges single records, and reads ledgers that are torn or of clocks that differ. */
+/**
+ * Judges single records, and reads ledgers that are truncated, corrupt or by clocks that differ.
+ */
 class RefereeTest {
   @TempDir Path dir;
 
@@ -39,13 +41,13 @@
     assertEquals("[answers: req 1 was never answered]", judge("replayable"));
     assertEquals("[]", judge("replayable", LedgerRecord.clientDisconnected(500, 1)));
     assertEquals(
-        "[answers: req 1 was answered 2 times]",
+        "[answers: req 1: expected 1 answer, got 2]",
         judge("replayable", answered(800, Answer.REJECTED), answered(900, Answer.DONE)));
     assertEquals(
-        "[answers: req 1 was answered 150 ms past its due]",
+        "[answers: req 1 was answered 150 ms after its deadline]",
         judge("replayable", answered(10_500, Answer.DONE)));
     assertEquals(
-        "[answers: req 1: its connection ended without an answer]",
+        "[answers: req 1: expected an answer, got the connection's end]",
         judge("replayable", answered(700, Answer.CONNECTION_LOST)));
     assertEquals(
         "[]",
@@ -54,7 +56,7 @@
             LedgerRecord.proxyChanged(600, 0, false),
             answered(700, Answer.CONNECTION_LOST)));
     assertEquals(
-        "[answers: req 1 was sent on 30 ms after its answer or due]",
+        "[answers: req 1 was sent to backend 2, 30 ms after its answer or deadline]",
         judge(
             "replayable",
             answered(700, Answer.REJECTED),
@@ -62,23 +64,24 @@
   }
 
   @Test
-  void noForbiddenEffectTwice() {
+  void noForbiddenRepeatedExecution() {
     LedgerRecord first = LedgerRecord.executionStarted(100, 1, 0, 2, 90, 200);
     LedgerRecord again = LedgerRecord.executionStarted(300, 1, 1, 3, 290, 200);
     LedgerRecord done = answered(600, Answer.DONE);
     assertEquals("[]", judge("replayable", first, again, done));
     assertEquals(
-        "[effects: req 1 ran 2 times and may only once]",
+        "[effects: req 1: expected 1 execution, got 2]",
         judge("non-replayable", first, again, done));
     assertEquals(
-        "[effects: req 1 was denied, though it has run]",
+        "[effects: req 1 was rejected, but was executed and may not be executed again]",
         judge("non-replayable", first, answered(600, Answer.REJECTED)));
     assertEquals(
-        "[effects: req 1 was denied, though it has run]",
+        "[effects: req 1 was rejected, but was executed and may not be executed again]",
         judge("non-replayable", answered(60, Answer.REJECTED), first));
     assertEquals("[]", judge("non-replayable", first, answered(600, Answer.FAILED)));
     assertEquals(
-        "[effects: req 1 ran again outside its group or window]",
+        "[effects: req 1 was executed again by backend 3, after backend 2,"
+            + " outside its deduplication scope or window]",
         judge("uniqued\"\nwindow-ms = 10\ngroup = \"all", first, again, done));
   }
 
@@ -90,7 +93,8 @@
         "[]",
         judge("replayable", draining, LedgerRecord.attemptArrived(5_000, 1, 0, 2, 100), done));
     assertEquals(
-        "[drains: proxy 0 sent req 1 to server 2 700 ms after it was told that it is DRAINING]",
+        "[drains: proxy 0 sent req 1 to backend 2, 700 ms after it was notified"
+            + " that the backend is DRAINING]",
         judge("replayable", draining, LedgerRecord.attemptArrived(7_100, 1, 0, 2, 100), done));
     assertEquals(
         "[]",
@@ -103,8 +107,8 @@
   }
 
   /**
-   * A cold capacity of 0.1 collapses at three times that over 3 s, 9,000 units of work; it is a
-   * violation only if the senders had been notified of the start.
+   * A backend with a cold capacity of 0.1 collapses at three times that over 3 s, which is 9,000
+   * units of work; it is a violation only if the senders had been notified of the start.
    */
   @Test
   void coldBackendsCollapseOnlyUnderInformedLoad() {
@@ -127,10 +131,10 @@
   }
 
   /**
-   * A writer killed in the middle of a line, a line that lost a digit, a writer that never ended.
+   * A line cut off in the middle, a line that lacks a digit, a ledger without END, an empty one.
    */
   @Test
-  void tornLedgersAreInvalid() throws Exception {
+  void truncatedAndCorruptLedgersAreInvalid() throws Exception {
     Path file = dir.resolve("one.ledger");
     try (LedgerWriter writer = new LedgerWriter(file, true)) {
       writer.accept(LedgerRecord.clockReading(1_000, 3_000));
@@ -141,34 +145,35 @@
         List.of(LedgerRecord.operationStarted(1_100, 1, 0, 2.5), LedgerRecord.end(1_200)),
         Ledger.read(file));
     String complete = Files.readString(file);
-    for (String torn :
+    for (String invalid :
         List.of(
             complete.substring(0, complete.length() - 3),
             complete.replace("3100", "310"),
             complete.substring(0, complete.indexOf("END")),
             "")) {
-      Files.writeString(file, torn);
+      Files.writeString(file, invalid);
       assertThrows(InvalidLedgerException.class, () -> Ledger.read(file));
     }
   }
 
   /**
-   * Two writers' clocks are 200 ms apart: records are ordered by the run's clock, not by theirs.
+   * Two writers' clocks are 200 ms apart: records are ordered by the run's clock, not by the
+   * writers' clocks.
    */
   @Test
   void recordsAreOrderedByTheRunsClock() throws Exception {
     Path ahead = dir.resolve("ahead.ledger");
-    Path right = dir.resolve("right.ledger");
+    Path exact = dir.resolve("exact.ledger");
     try (LedgerWriter aheadWriter = new LedgerWriter(ahead, false);
-        LedgerWriter rightWriter = new LedgerWriter(right, false)) {
+        LedgerWriter exactWriter = new LedgerWriter(exact, false)) {
       aheadWriter.accept(LedgerRecord.clockReading(0, 2_000));
       aheadWriter.accept(LedgerRecord.attemptArrived(2_500, 1, 0, 2, 1));
       aheadWriter.accept(LedgerRecord.end(9_000));
-      rightWriter.accept(LedgerRecord.answered(600, 1, Answer.DONE));
-      rightWriter.accept(LedgerRecord.end(7_500));
+      exactWriter.accept(LedgerRecord.answered(600, 1, Answer.DONE));
+      exactWriter.accept(LedgerRecord.end(7_500));
     }
     assertEquals(
         List.of(500L, 600L, 7_000L, 7_500L),
-        Ledger.merge(List.of(right, ahead)).stream().map(LedgerRecord::at).toList());
+        Ledger.merge(List.of(exact, ahead)).stream().map(LedgerRecord::at).toList());
   }
 }
--- a/lab/src/test/java/wheattrack/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/ColdFleetTest.java
@@ -112,9 +112,10 @@
           "collapsed under " + requests + " requests");
     }
     assertTrue(budget.add(18, 100, 0.01, false));
-    assertFalse(budget.isSendersFault()); // 12 of 18 from notified senders: not over two thirds
+    assertFalse(
+        budget.isCausedByInformedSenders()); // 12 of 18 from notified senders: not over two thirds
     assertTrue(budget.add(19, 100, 0.01, true));
-    assertTrue(budget.isSendersFault());
+    assertTrue(budget.isCausedByInformedSenders());
     assertFalse(
         budget.add(30_020, 10_000, 0.01, true)); // one request alone never makes it collapse
     assertEquals(18 / 9.0, budget.peakLoad(), 1e-9);
