--- a/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
+++ b/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
@@ -121,7 +121,7 @@
   public void scheduleFailureDetection(SimulatedBackend backend) {
     int incarnation = backend.incarnation() + 1;
     environment.schedule(
-        environment.scenario().discovery().deathNotice(),
+        environment.scenario().discovery().failureDetectionDelay(),
         () -> {
           boolean isSameIncarnation = backend.incarnation() == incarnation;
           if (isSameIncarnation && backend.state() != SimulatedBackend.State.UP) {
--- a/lab/src/main/java/wheattrack/lab/model/FaultTimeline.java
+++ b/lab/src/main/java/wheattrack/lab/model/FaultTimeline.java
@@ -187,7 +187,7 @@
     if (proxy.isUp()) {
       proxy.kill();
       proxy.scheduleInIncarnation(
-          environment.scenario().frontNotice(),
+          environment.scenario().frontDetectionDelay(),
           () -> environment.clients().setProxyAvailable(proxy, false));
     }
   }
--- a/lab/src/main/java/wheattrack/lab/referee/Referee.java
+++ b/lab/src/main/java/wheattrack/lab/referee/Referee.java
@@ -29,7 +29,7 @@
   /** Creates a referee for one run of this scenario. */
   public Referee(Scenario scenario) {
     this.scenario = scenario;
-    long tolerance = scenario.terms().clockSlack();
+    long tolerance = scenario.terms().clockTolerance();
     long drainGrace = scenario.terms().drainGrace() + (scenario.isVirtual() ? 0 : tolerance);
     run = new RunState(scenario);
     answerRule = new AnswerRule(run, violations, tolerance);
--- a/lab/src/main/java/wheattrack/lab/report/BackendPlots.java
+++ b/lab/src/main/java/wheattrack/lab/report/BackendPlots.java
@@ -1,6 +1,7 @@
 package wheattrack.lab.report;
 
 import static wheattrack.lab.report.HtmlWriter.escaped;
+import static wheattrack.lab.report.PlotArea.LAST_LABEL_MARGIN;
 import static wheattrack.lab.report.PlotArea.LEFT;
 import static wheattrack.lab.report.PlotArea.WIDTH;
 
@@ -13,10 +14,17 @@
 
 /** The plots of one run that have a row for each backend. */
 final class BackendPlots {
-  /** The least work that the logarithmic axis shows, in milliseconds. */
+  /** The least work on the logarithmic axis, in milliseconds; less is drawn at this place. */
   private static final double MIN_WORK = 0.1;
 
-  private static final int AXIS_LENGTH = WIDTH - LEFT - 30;
+  /** Length of the axis of work, in pixels. */
+  private static final int AXIS_LENGTH = WIDTH - LEFT - LAST_LABEL_MARGIN;
+
+  /** Opacity of the cell of least attempts. */
+  private static final double MIN_OPACITY = 0.08;
+
+  /** Opacity that the cell of most attempts has in addition. */
+  private static final double OPACITY_RANGE = 0.92;
 
   private final HtmlWriter html;
   private final Run run;
@@ -28,12 +36,12 @@
     this.area = area;
   }
 
-  /** A cell for each second; a darker one stands for more attempts. */
+  /** Adds a row for each backend with a cell for each second, darker for more attempts. */
   void addAttempts() {
     Map<Integer, long[]> rows = run.verdict().attemptsByBackend();
     long max = rows.values().stream().flatMapToLong(Arrays::stream).max().orElse(1);
     int rowHeight = PlotArea.rowHeight(rows.size());
-    html.add("<h2>Dispatches by server (%s); darkest: %d a second</h2>", escaped(run.name()), max);
+    html.add("<h2>Attempts by backend (%s); darkest: %d per second</h2>", escaped(run.name()), max);
     html.openDrawing(WIDTH, PlotArea.rowsHeight(rows.size()));
     int row = 0;
     for (Map.Entry<Integer, long[]> entry : rows.entrySet()) {
@@ -53,20 +61,22 @@
             top,
             area.x(s + 1) - area.x(s) - 0.5,
             rowHeight - 1,
-            0.08 + 0.92 * attempts[s] / (double) max);
+            MIN_OPACITY + OPACITY_RANGE * attempts[s] / (double) max);
       }
     }
   }
 
-  /** The work of the middle eight tenths of the attempts of each backend, the median marked. */
+  /**
+   * Adds a bar for each backend from the 10th to the 90th percentile of work, the median marked.
+   */
   void addWork() {
     Map<Integer, WorkQuantiles> rows = run.verdict().workByBackend();
     WorkAxis axis = WorkAxis.of(rows.values());
     int rowHeight = PlotArea.rowHeight(rows.size());
     int height = PlotArea.rowsHeight(rows.size());
     html.add(
-        "<h2>Work of what each server got (%s), ms, logarithmic: a tenth below, the median, a tenth"
-            + " above</h2>",
+        "<h2>Work of the attempts at each backend (%s), ms, logarithmic: 10th percentile, median,"
+            + " 90th percentile</h2>",
         escaped(run.name()));
     html.openDrawing(WIDTH, height);
     int row = 0;
--- a/lab/src/main/java/wheattrack/lab/report/HtmlReport.java
+++ b/lab/src/main/java/wheattrack/lab/report/HtmlReport.java
@@ -9,9 +9,9 @@
 import wheattrack.lab.referee.Verdict;
 import wheattrack.lab.scenario.Scenario;
 
-/** A run, or several of the same scenario, as one self-contained HTML file. */
+/** A report on one or several runs of a scenario, as one self-contained HTML file. */
 public final class HtmlReport {
-  /** One curve of the plots: its name and what was found. */
+  /** A run with the name of its curves in the plots, and its verdict. */
   public record Run(String name, Verdict verdict) {}
 
   private static final String STYLE =
@@ -34,7 +34,11 @@
     seconds = Scenario.toSeconds(scenario.duration());
   }
 
-  /** Writes the report of these runs, at least one; throws IOException if the file can't be. */
+  /**
+   * Writes the report of these runs, at least one.
+   *
+   * @throws IOException if the file can't be written
+   */
   public static void write(Path file, List<Run> runs) throws IOException {
     Files.writeString(file, new HtmlReport(runs).text());
   }
@@ -64,7 +68,7 @@
         escaped(scenario.name()));
     html.add(STYLE);
     html.add(
-        "<h1>%s</h1><p>%s. %s clock, %d proxies, %d servers, %s s.</p>",
+        "<h1>%s</h1><p>%s. %s clock, %d proxies, %d backends, %s s.</p>",
         escaped(scenario.name()),
         escaped(scenario.description()),
         scenario.isVirtual() ? "Simulated on a virtual" : "On sockets by a real",
@@ -80,6 +84,6 @@
           "<span style='color:%s'>&#9632;</span> %s &nbsp; ",
           PlotArea.colour(i), escaped(runs.get(i).name()));
     }
-    html.add("<span style='color:#f3d9a6'>&#9632;</span> a fault holds</p>");
+    html.add("<span style='color:#f3d9a6'>&#9632;</span> a fault is active</p>");
   }
 }
--- a/lab/src/main/java/wheattrack/lab/report/HtmlWriter.java
+++ b/lab/src/main/java/wheattrack/lab/report/HtmlWriter.java
@@ -3,14 +3,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Collects the text of an HTML page; numbers are formatted without regard to the locale. */
+/** Collects the text of an HTML page; numbers are formatted in the same way in all locales. */
 final class HtmlWriter {
   /** A point of a curve, in pixels from the left and from the top. */
   record Point(double x, double y) {}
 
   private final StringBuilder html = new StringBuilder();
 
-  /** Adds formatted text; values that are not markup have to be escaped by the caller. */
+  /** Adds formatted text; the caller has to escape values that may contain markup characters. */
   void add(String format, Object... values) {
     html.append(String.format(Locale.ROOT, format, values));
   }
@@ -33,7 +33,7 @@
     add("</svg>");
   }
 
-  /** The text with the characters replaced that are markup. */
+  /** Replaces the markup characters of a text by entities. */
   static String escaped(String text) {
     return text.replace("&", "&amp;")
         .replace("<", "&lt;")
--- a/lab/src/main/java/wheattrack/lab/report/LatencyPlot.java
+++ b/lab/src/main/java/wheattrack/lab/report/LatencyPlot.java
@@ -1,6 +1,7 @@
 package wheattrack.lab.report;
 
 import static wheattrack.lab.report.PlotArea.HEIGHT;
+import static wheattrack.lab.report.PlotArea.LAST_LABEL_MARGIN;
 import static wheattrack.lab.report.PlotArea.LEFT;
 import static wheattrack.lab.report.PlotArea.RIGHT;
 import static wheattrack.lab.report.PlotArea.WIDTH;
@@ -20,9 +21,10 @@
 final class LatencyPlot {
   private static final double[] PERCENTILES = {0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99};
 
-  /** The axis begins at this many milliseconds and ends at no fewer than the second number. */
+  /** Where the axis begins, in milliseconds; a lower latency is drawn there. */
   private static final double MIN_MILLIS = 1;
 
+  /** Where the axis ends at least, in milliseconds. */
   private static final double MIN_AXIS_END_MILLIS = 10;
 
   private final HtmlWriter html;
@@ -40,7 +42,8 @@
   }
 
   void add() {
-    html.add("<h2>Latency by percentile, from a client's first try (ms, logarithmic)</h2>");
+    html.add(
+        "<h2>Latency by percentile, from the start of an operation to its success (ms, logarithmic)</h2>");
     html.openDrawing(WIDTH, HEIGHT);
     for (double millis = MIN_MILLIS; millis <= axisEndMillis; millis *= 10) {
       double y = latencyY(millis);
@@ -74,7 +77,7 @@
   }
 
   private static double percentileX(int index) {
-    double gap = (WIDTH - LEFT - 30) / (double) (PERCENTILES.length - 1);
+    double gap = (WIDTH - LEFT - LAST_LABEL_MARGIN) / (double) (PERCENTILES.length - 1);
     return LEFT + index * gap;
   }
 
--- a/lab/src/main/java/wheattrack/lab/report/PlotArea.java
+++ b/lab/src/main/java/wheattrack/lab/report/PlotArea.java
@@ -1,6 +1,6 @@
 package wheattrack.lab.report;
 
-/** The measures that the plots of a report share, in pixels, and the scale of time. */
+/** The dimensions, in pixels, and the time scale that the plots of a report share. */
 final class PlotArea {
   static final int WIDTH = 900;
   static final int HEIGHT = 220;
@@ -11,26 +11,36 @@
   /** Height of the labels below a plot. */
   static final int BASE = 24;
 
-  /** Where the curves end at the right. */
+  /** Right end of the curves, in pixels from the left. */
   static final int RIGHT = WIDTH - 10;
 
-  /** Height of the part that the curves use. */
+  /** Space right of an axis whose last label is centred at its end. */
+  static final int LAST_LABEL_MARGIN = 30;
+
+  /** Height of the part that the curves use, without the labels. */
   static final int CURVE_HEIGHT = HEIGHT - BASE - 10;
 
-  /** Backends' rows are drawn so that all of them are about this high. */
+  /** Height of all rows of backends together, as far as the bounds of a row's height allow it. */
   private static final int ROWS_HEIGHT = 420;
 
+  /** Highest fraction that is drawn: a little above the plot's upper end. */
+  private static final double MAX_FRACTION = 1.02;
+
   private static final int MIN_ROW_HEIGHT = 4;
   private static final int MAX_ROW_HEIGHT = 14;
 
-  /** Lower rows than this are too low for a label each. */
+  /** Lowest height of rows that have a label each. */
   private static final int MIN_LABELLED_ROW_HEIGHT = 10;
 
   private static final String[] COLOURS = {"#1b6ca8", "#c0504d", "#5a8f3c", "#8064a2", "#d08a1e"};
 
   private final double seconds;
 
-  /** seconds: the length of the run. */
+  /**
+   * Creates the area of a run's plots.
+   *
+   * @param seconds the length of the run
+   */
   PlotArea(double seconds) {
     this.seconds = seconds;
   }
@@ -39,14 +49,14 @@
     return seconds;
   }
 
-  /** Where a moment of the run lies from left to right. */
+  /** The horizontal place of a time of the run, in pixels from the left. */
   double x(double second) {
     return LEFT + (RIGHT - LEFT) * second / Math.max(1, seconds);
   }
 
-  /** Where a part of the plot's height lies; a little over 1 is still shown. */
-  static double y(double part) {
-    return HEIGHT - BASE - CURVE_HEIGHT * Math.max(0, Math.min(1.02, part));
+  /** The vertical place of a fraction of the curves' height, in pixels from the top. */
+  static double y(double fraction) {
+    return HEIGHT - BASE - CURVE_HEIGHT * Math.max(0, Math.min(MAX_FRACTION, fraction));
   }
 
   /** The colour of the run of this index. */
@@ -54,7 +64,7 @@
     return COLOURS[run % COLOURS.length];
   }
 
-  /** The height of each row for this number of them. */
+  /** The height of each of this number of rows. */
   static int rowHeight(int rows) {
     return Math.max(MIN_ROW_HEIGHT, Math.min(MAX_ROW_HEIGHT, ROWS_HEIGHT / Math.max(1, rows)));
   }
@@ -64,7 +74,7 @@
     return rows * rowHeight(rows) + BASE + 10;
   }
 
-  /** Adds the label at the left of a row, to each or to one in ten as the height allows. */
+  /** Adds the label at the left of a row; of low rows only one in ten has a label. */
   static void addRowLabel(HtmlWriter html, int row, int rowHeight, int label) {
     if (rowHeight >= MIN_LABELLED_ROW_HEIGHT || row % 10 == 0) {
       html.add(
@@ -73,6 +83,7 @@
     }
   }
 
+  /** The top of a row, in pixels from the top of the plot. */
   static int rowTop(int row, int rowHeight) {
     return 6 + row * rowHeight;
   }
--- a/lab/src/main/java/wheattrack/lab/report/ReportTables.java
+++ b/lab/src/main/java/wheattrack/lab/report/ReportTables.java
@@ -9,7 +9,7 @@
 import wheattrack.lab.report.HtmlReport.Run;
 import wheattrack.lab.scenario.Scenario;
 
-/** The parts of a report that are text: metrics, rule violations and faults. */
+/** The tables and lists of a report: metrics, rule violations and faults. */
 final class ReportTables {
   private final HtmlWriter html;
   private final List<Run> runs;
@@ -22,7 +22,7 @@
   }
 
   void addMetrics() {
-    html.add("<h2>Figures</h2><table><tr><th>figure</th>");
+    html.add("<h2>Metrics</h2><table><tr><th>metric</th>");
     runs.forEach(run -> html.add("<th>%s</th>", escaped(run.name())));
     html.add("<th>expected</th></tr>");
     for (String name : runs.get(0).verdict().metrics().keySet()) {
@@ -58,7 +58,7 @@
     for (Run run : runs) {
       List<RuleViolation> violations = run.verdict().violations();
       if (!violations.isEmpty()) {
-        html.add("<h2>Rules broken (%s)</h2><ul>", escaped(run.name()));
+        html.add("<h2>Rule violations (%s)</h2><ul>", escaped(run.name()));
         for (RuleViolation violation : violations) {
           html.add(
               "<li>%.3f s, %s: %s</li>",
@@ -72,7 +72,7 @@
   }
 
   void addFaults() {
-    html.add("<h2>Faults as played</h2><ul>");
+    html.add("<h2>Faults</h2><ul>");
     for (LedgerRecord fault : runs.get(0).verdict().faults()) {
       html.add(
           "<li>%.3f s: %s %s</li>",
--- a/lab/src/main/java/wheattrack/lab/report/ResultLines.java
+++ b/lab/src/main/java/wheattrack/lab/report/ResultLines.java
@@ -13,11 +13,11 @@
 import wheattrack.lab.referee.Verdict;
 import wheattrack.lab.scenario.Scenario;
 
-/** A run as JSON lines: its metrics, each rule violation, each second. */
+/** Writes a run as JSON lines: its metrics, each described rule violation, each second. */
 public final class ResultLines {
   private ResultLines() {}
 
-  /** Writes the lines of a run; throws IOException if the file can't be written. */
+  /** Writes the lines of one run; throws IOException if the file can't be written. */
   public static void write(Path file, Verdict verdict, long seed, String policy)
       throws IOException {
     try (JsonGenerator json = new JsonFactory().createGenerator(Files.newBufferedWriter(file))) {
--- a/lab/src/main/java/wheattrack/lab/report/TimePlots.java
+++ b/lab/src/main/java/wheattrack/lab/report/TimePlots.java
@@ -18,10 +18,12 @@
 import wheattrack.lab.scenario.Fault;
 import wheattrack.lab.scenario.Scenario;
 
-/** The plots over the time of the run: a curve for each run, the faults behind them. */
+/** The plots over time: a curve for each run, with the times of faults in the background. */
 final class TimePlots {
-  /** A label of the vertical axis, from 0 at the foot of the plot to 1 at its top. */
-  private record AxisLabel(double partOfHeight, String text) {}
+  /**
+   * A label of the vertical axis; the fraction is 0 at the lower end of the axis, 1 at the upper.
+   */
+  private record AxisLabel(double fractionOfHeight, String text) {}
 
   private final HtmlWriter html;
   private final List<Run> runs;
@@ -37,7 +39,7 @@
 
   void addService() {
     open(
-        "Service: value done within the target over value asked for",
+        "Service: value earned over value offered, by second",
         List.of(new AxisLabel(0, "0"), new AxisLabel(0.5, "50%"), new AxisLabel(1, "100%")));
     addCurves(ServiceSecond::hasShare, ServiceSecond::earnedShare);
     html.closeDrawing();
@@ -51,7 +53,7 @@
     }
     double top = max;
     open(
-        "Denied and aborted by second",
+        "Rejected and failed requests by second",
         List.of(new AxisLabel(0, "0"), new AxisLabel(1, Verdict.format(top))));
     addCurves(second -> true, second -> unsuccessful(second) / top);
     html.closeDrawing();
@@ -61,29 +63,31 @@
     return second.rejected() + second.failed();
   }
 
-  /** Adds each run's curve through the seconds that are shown, at these parts of the height. */
+  /** Adds each run's curve through the seconds that are shown, at these fractions of the height. */
   private void addCurves(
-      Predicate<ServiceSecond> isShown, ToDoubleFunction<ServiceSecond> partOfHeight) {
+      Predicate<ServiceSecond> isShown, ToDoubleFunction<ServiceSecond> fractionOfHeight) {
     for (int i = 0; i < runs.size(); i++) {
       List<ServiceSecond> all = runs.get(i).verdict().seconds();
       List<Point> points = new ArrayList<>();
       for (int s = 0; s < Math.min(all.size(), Math.ceil(area.seconds())); s++) {
         ServiceSecond second = all.get(s);
         if (isShown.test(second)) {
-          points.add(new Point(area.x(s + 0.5), y(partOfHeight.applyAsDouble(second))));
+          points.add(new Point(area.x(s + 0.5), y(fractionOfHeight.applyAsDouble(second))));
         }
       }
       html.addCurve(PlotArea.colour(i), points);
     }
   }
 
-  /** Opens a plot with these labels at its vertical axis. */
+  /**
+   * Opens a plot with this title, the faults, these labels of the vertical axis and the time axis.
+   */
   private void open(String title, List<AxisLabel> labels) {
     html.add("<h2>%s</h2>", escaped(title));
     html.openDrawing(WIDTH, HEIGHT);
     addFaults();
     for (AxisLabel label : labels) {
-      double y = y(label.partOfHeight);
+      double y = y(label.fractionOfHeight);
       html.add(
           "<line x1='%d' x2='%d' y1='%.1f' y2='%.1f' stroke='#ddd'/>"
               + "<text x='%d' y='%.1f' text-anchor='end'>%s</text>",
--- a/lab/src/main/java/wheattrack/lab/scenario/Comparison.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/Comparison.java
@@ -17,7 +17,7 @@
     this.sign = sign;
   }
 
-  /** Its sign in scenario files and reports. */
+  /** The sign of this comparison in scenario files and reports. */
   public String sign() {
     return sign;
   }
@@ -27,12 +27,12 @@
     return Arrays.stream(values()).map(Comparison::sign).toList();
   }
 
-  /** The comparison of this sign, which has to be one of {@link #signs}. */
+  /** The comparison of a sign, which has to be one of {@link #signs}. */
   static Comparison ofSign(String sign) {
     return values()[signs().indexOf(sign)];
   }
 
-  /** Whether a value compares in this way with the bound. */
+  /** Whether the comparison of the value with the bound is true. */
   boolean holds(double value, double bound) {
     return switch (this) {
       case AT_LEAST -> value >= bound;
--- a/lab/src/main/java/wheattrack/lab/scenario/Fault.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/Fault.java
@@ -6,14 +6,16 @@
  * One fault of a scenario's timeline. Times are tenths of a millisecond from the start of the run.
  *
  * @param startsAt when it begins
- * @param duration how long it lasts, 0 where it only happens
- * @param target what it hits: a number of backends or proxies, chosen by the seed, or one of them
- * @param magnitude how strong it is, in the kind's own measure
- * @param interval for a fault that recurs while it lasts: the time between two occurrences
+ * @param duration how long it lasts, 0 for a fault that is a single event
+ * @param target what it hits: one proxy, backend or request class, or a share of them that the seed
+ *     chooses
+ * @param magnitude how strong it is, in a unit that depends on the kind; 0 for a kind without one
+ * @param interval the time between two occurrences of a fault that recurs while it lasts; otherwise
+ *     0
  */
 public record Fault(
     Kind kind, long startsAt, long duration, Target target, double magnitude, long interval) {
-  /** What a fault disturbs. */
+  /** What a fault affects. */
   private enum Subject {
     PROXIES,
     BACKENDS,
@@ -23,7 +25,7 @@
     HINTS
   }
 
-  /** The clocks on which a fault can be played. */
+  /** The clocks on which a fault is supported. */
   private enum Clocks {
     VIRTUAL,
     REAL,
@@ -33,13 +35,13 @@
   /**
    * The bounds of a kind's magnitude.
    *
-   * @param defaultValue the magnitude where the scenario names none
+   * @param defaultValue the magnitude if the scenario gives none
    * @param min the least allowed
    * @param max the greatest allowed
    */
   public record MagnitudeRange(double defaultValue, double min, double max) {}
 
-  /** What the timeline can do, and on which clocks it can be played. */
+  /** The kinds of faults, each with what it affects and the clocks on which it is supported. */
   public enum Kind {
     KILL_PROXY(Subject.PROXIES, Clocks.BOTH),
     STOP_PROXY(Subject.PROXIES, Clocks.REAL),
@@ -91,8 +93,8 @@
       return name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    /** Whether it can be played on the virtual clock, or on the real one. */
-    public boolean isPlayable(boolean onVirtualClock) {
+    /** Whether it is supported on the virtual clock, or else on the real one. */
+    public boolean isSupported(boolean onVirtualClock) {
       return clocks == Clocks.BOTH || clocks == (onVirtualClock ? Clocks.VIRTUAL : Clocks.REAL);
     }
 
@@ -101,7 +103,7 @@
       return subject == Subject.PROXIES;
     }
 
-    /** Whether it may be confined to one request class. */
+    /** Whether it may be limited to one request class. */
     public boolean mayHitOneRequestClass() {
       return subject == Subject.HINTS;
     }
@@ -111,7 +113,7 @@
       return subject == Subject.BACKENDS || subject == Subject.LINKS;
     }
 
-    /** Whether it disturbs the links between proxies and backends. */
+    /** Whether it affects the links between proxies and backends. */
     public boolean hitsLinks() {
       return subject == Subject.LINKS;
     }
@@ -125,13 +127,13 @@
   /**
    * Which backends or proxies a fault hits.
    *
-   * @param index the one it hits, or for a fault of hints the request class; below 0 where the seed
-   *     chooses
+   * @param index the one that it hits, or the request class for a fault of hints; below 0 if the
+   *     seed chooses, or for all request classes
    * @param share the share of the candidates that is hit, at least one of them
    * @param zone the zone of the candidates, or below 0 for all zones
    */
   public record Target(int index, double share, int zone) {
-    /** How many of this number of candidates are hit. */
+    /** The number of candidates that are hit, of as many as given. */
     public int count(int population) {
       return index >= 0
           ? 1
--- a/lab/src/main/java/wheattrack/lab/scenario/FaultReader.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/FaultReader.java
@@ -7,7 +7,7 @@
 
 /** Reads the faults of a scenario and checks them against the deployment that they hit. */
 final class FaultReader {
-  /** What a target's index, zone or request class is where the scenario names none. */
+  /** The index, zone or request class of a target if the scenario gives none. */
   private static final int NONE = -1;
 
   private final boolean isVirtual;
@@ -15,7 +15,7 @@
   private final Deployment deployment;
 
   /**
-   * The sizes that bound what a fault may hit.
+   * The size of the deployment, which bounds the targets of faults.
    *
    * @param proxies the number of proxies
    * @param backends the number of backends of all groups
@@ -29,6 +29,7 @@
    *
    * @param isVirtual whether it runs on the virtual clock
    * @param duration the length of the run, in tenths of a millisecond
+   * @param deployment the size of what the faults may hit
    */
   FaultReader(boolean isVirtual, long duration, Deployment deployment) {
     this.isVirtual = isVirtual;
@@ -51,7 +52,7 @@
     if (startsAt >= duration) {
       throw section.fault("at-s", Scenario.toSeconds(startsAt) + " is past the end");
     }
-    long lasts = Durations.seconds(section, "for-s", 0, 0, Durations.MAX_SECONDS);
+    long faultDuration = Durations.seconds(section, "for-s", 0, 0, Durations.MAX_SECONDS);
     Fault.Target target = target(section, kind);
     Fault.MagnitudeRange range = kind.magnitudeRange();
     double magnitude =
@@ -60,7 +61,7 @@
         kind == Fault.Kind.PAUSE
             ? Durations.seconds(section, "every-s", 3, 0.05, Durations.MAX_SECONDS)
             : 0;
-    return new Fault(kind, startsAt, lasts, target, magnitude, interval);
+    return new Fault(kind, startsAt, faultDuration, target, magnitude, interval);
   }
 
   private Fault.Kind kind(ConfigurationReader section) {
@@ -69,7 +70,7 @@
     if (!section.has("kind")) {
       throw section.fault("kind", "missing");
     }
-    if (!kind.isPlayable(isVirtual)) {
+    if (!kind.isSupported(isVirtual)) {
       String clock = isVirtual ? "virtual" : "real";
       throw section.fault("kind", kind.keyword() + " can't be played on the " + clock + " clock");
     }
--- a/lab/src/main/java/wheattrack/lab/scenario/Metric.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/Metric.java
@@ -3,8 +3,8 @@
 import java.util.Arrays;
 
 /**
- * The metrics of a verdict, in the order of the RESULT line. The service in each window of the
- * scenario comes in addition, after {@link #SERVICE}.
+ * The metrics of a verdict, in the order of the RESULT line. The service of each window of the
+ * scenario follows {@link #SERVICE} there.
  */
 public enum Metric {
   /** Violations of all rules. */
@@ -19,7 +19,7 @@
   BROKEN_COLD("broken.cold"),
   /** Value earned as a share of the value offered. */
   SERVICE("service"),
-  /** The lowest service in one second. */
+  /** The lowest service of a single second. */
   WORST_SECOND("worst-second"),
   /** Operations started. */
   ASKED("asked"),
@@ -29,13 +29,13 @@
   REJECTED("denied"),
   /** Requests failed. */
   FAILED("aborted"),
-  /** Requests never answered, for no fault of the timeline. */
+  /** Requests never answered although no fault of the timeline explains it. */
   LOST("lost"),
   /** Attempts that arrived at backends. */
   ATTEMPTS("dispatches"),
-  /** The share of the executed work that was executed again. */
+  /** The share of the executed work that was spent on requests executed before. */
   REPEATED_WORK("duplicate"),
-  /** The share of the attempts that left the proxy's zone. */
+  /** The share of the attempts that went to another zone than the proxy's. */
   CROSSINGS("crossings"),
   /** Median latency in milliseconds. */
   P50("p50"),
@@ -43,14 +43,17 @@
   P99("p99"),
   /** 99.9th percentile of the latency in milliseconds. */
   P999("p999"),
-  /** The longest time, in milliseconds, from the notice of a drain to an attempt against it. */
+  /**
+   * The longest time, in milliseconds, from the notification that a backend is draining or gone to
+   * an attempt to it.
+   */
   LATE_DRAIN("late-drain"),
   /** The highest load of a cold backend, as a multiple of what it sustains. */
   COLD_LOAD("cold-load"),
   /** Backends that collapsed while cold. */
   COLLAPSES("fallen");
 
-  /** What the name of the service in a window begins with. */
+  /** Prefix of the metric that is the service of a window; the window's name follows. */
   public static final String WINDOW_PREFIX = "service-";
 
   private final String keyword;
@@ -64,7 +67,7 @@
     return keyword;
   }
 
-  /** Whether a metric has this name; windows are not known here. */
+  /** Whether a metric other than a window's service has this name. */
   static boolean isKeyword(String name) {
     return Arrays.stream(values()).anyMatch(metric -> metric.keyword.equals(name));
   }
--- a/lab/src/main/java/wheattrack/lab/scenario/ProxySettings.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/ProxySettings.java
@@ -15,15 +15,18 @@
  * The settings that a scenario gives its proxies, in the form of the proxies' own configuration.
  */
 public final class ProxySettings {
-  /** Microseconds, as the settings have them. */
+  /** Time limit of connection attempts to backends, in microseconds. */
   private static final int CONNECT_TIMEOUT = 250_000;
 
+  /** Time after which idle connections to backends are closed, in microseconds. */
   private static final int IDLE_TIMEOUT = 30_000_000;
+
+  /** Time between two load probes, in microseconds. */
   private static final int LOAD_PROBE_INTERVAL = 10_000_000;
 
   private ProxySettings() {}
 
-  /** The settings of the proxy of this index, as a tree of maps, lists and plain values. */
+  /** The settings of the proxy of this index, as a tree of maps, lists, strings and numbers. */
   public static Map<String, Object> of(Scenario scenario, int proxyIndex) {
     List<Object> requestClasses = new ArrayList<>();
     for (Workload workload : scenario.workloads()) {
--- a/lab/src/main/java/wheattrack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/Scenario.java
@@ -12,14 +12,18 @@
  * @param name the name that the RESULT line shows
  * @param description what the scenario is about, possibly empty
  * @param isVirtual whether it runs on the virtual clock; otherwise on sockets in real time
- * @param duration how long clients go on to send new requests
+ * @param duration how long clients send new requests
  * @param proxyCount the number of proxies
- * @param zoneCount the number of zones, over which proxies and backends are spread in turn
+ * @param zoneCount the number of zones, over which proxies and backends are distributed in turn
  * @param backendGroups the backends, by kind
  * @param workloads the request classes with what clients send of each
- * @param frontNotice how long the clients' front load balancer takes to notice that a proxy is dead
- * @param terms what the referee judges by
+ * @param frontDetectionDelay how long the clients' front load balancer takes to detect the failure
+ *     of a proxy
+ * @param terms the tolerances and limits that the referee judges by
  * @param limits what the proxies' policy may do
+ * @param faults the timeline of faults
+ * @param windows the parts of the run whose service is measured separately
+ * @param expectations the conditions on the metrics that make the run's result ok
  */
 public record Scenario(
     String name,
@@ -33,7 +37,7 @@
     Load load,
     Hints hints,
     Clients clients,
-    long frontNotice,
+    long frontDetectionDelay,
     Discovery discovery,
     Network network,
     Terms terms,
@@ -50,7 +54,7 @@
   /** Microseconds in a tenth of a millisecond. */
   public static final long MICROSECONDS_PER_UNIT = 100;
 
-  /** Backends of consecutive indexes that share a cell (pod group). */
+  /** Number of backends, of consecutive indexes, in one cell (pod group). */
   private static final int BACKENDS_PER_CELL = 4;
 
   /**
@@ -58,12 +62,12 @@
    *
    * @param kind the name of their kind
    * @param count how many there are
-   * @param cores requests that each one processes at once
+   * @param cores requests that each one executes at the same time
    * @param speed work done by a core in a unit of time
-   * @param queueCapacity requests that may wait at one
-   * @param coldSpeed the part of its speed that one has right after a cold start
-   * @param coldDuration how long it takes until it has its full speed
-   * @param maxConnections open connections that one accepts
+   * @param queueCapacity requests that may wait at each one
+   * @param coldSpeed the fraction of its speed that each one has right after a cold start
+   * @param coldDuration time from a cold start to full speed
+   * @param maxConnections open connections that each one accepts
    * @param handshakeWork work of a new connection, in tenths of a millisecond at speed 1
    */
   public record BackendGroup(
@@ -76,7 +80,9 @@
       long coldDuration,
       int maxConnections,
       double handshakeWork) {
-    /** The part of its full speed, up to 1, that a backend has this long after a cold start. */
+    /**
+     * The fraction of its full speed, up to 1, that a backend has at this age after a cold start.
+     */
     public double speedFactorAt(long age) {
       return age >= coldDuration ? 1 : coldSpeed + (1 - coldSpeed) * age / coldDuration;
     }
@@ -102,14 +108,15 @@
    * How requests arrive.
    *
    * @param rate mean rate, requests a second from all clients
-   * @param swing how far the rate departs from its mean, as a part of it
-   * @param period the period of a wave, or of bursts on the mean
+   * @param swing the largest increase of the rate over its mean, as a fraction of the mean
+   * @param period the period of a wave, or the mean period of bursts
    * @param trace the rate of each second in turn, for {@link Shape#TRACE}
    */
   public record Load(Shape shape, double rate, double swing, long period, double[] trace) {
     /**
-     * The course of the rate: POISSON has independent arrivals, EVEN equal gaps, BURSTY is on and
-     * off, WAVE a sine, TRACE as recorded.
+     * How the rate develops: POISSON has independent arrivals, EVEN has equal gaps, BURSTY
+     * alternates between bursts and pauses, WAVE follows a sine, TRACE takes the rate of each
+     * second from a list.
      */
     public enum Shape {
       POISSON,
@@ -125,7 +132,7 @@
    *
    * @param share the share of requests that carry one
    * @param noise the standard deviation of the logarithm of a hint's error
-   * @param scale the factor by which all hints are off
+   * @param scale the factor by which all hints are multiplied
    */
   public record Hints(double share, double noise, double scale) {}
 
@@ -142,14 +149,14 @@
   /**
    * The endpoint list.
    *
-   * @param delay mean time that an event takes to reach a proxy
-   * @param deathNotice time until the death of a backend is noticed
-   * @param entriesPerSecond entries that it can send a second, 0 for no limit
+   * @param delay mean time that a change takes to reach a proxy
+   * @param failureDetectionDelay time until the failure of a backend is detected
+   * @param entriesPerSecond entries that discovery can send per second, 0 for no limit
    */
-  public record Discovery(long delay, long deathNotice, double entriesPerSecond) {}
+  public record Discovery(long delay, long failureDetectionDelay, double entriesPerSecond) {}
 
   /**
-   * Mean one-way delays.
+   * Mean one-way delays of the network.
    *
    * @param sameZone between a proxy and a backend of one zone
    * @param crossZone between a proxy and a backend of different zones
@@ -159,15 +166,16 @@
   public record Network(long sameZone, long crossZone, long client, double jitter) {}
 
   /**
-   * The terms that the referee judges by.
+   * The tolerances and limits that the referee judges by.
    *
-   * @param drainGrace how long after the notice of a drain attempts may still arrive
-   * @param collapseMultiple the load, over its capacity, at which a cold backend collapses
-   * @param collapseWindow the window over which that load is taken
-   * @param clockSlack the tolerance of comparisons between clocks
+   * @param drainGrace how long after the notification of a drain attempts may still arrive
+   * @param collapseMultiple the load, as a multiple of its capacity, that a cold backend sustains;
+   *     see {@link ColdBudget}
+   * @param collapseWindow the window over which that load is measured
+   * @param clockTolerance the tolerance of comparisons between times of different clocks
    */
   public record Terms(
-      long drainGrace, double collapseMultiple, long collapseWindow, long clockSlack) {}
+      long drainGrace, double collapseMultiple, long collapseWindow, long clockTolerance) {}
 
   /**
    * What the proxies' policy may do.
@@ -180,10 +188,15 @@
   public record AttemptLimits(
       int maxAttempts, boolean mayCancel, boolean mayHedge, long maxRetryAfter) {}
 
-  /** A part of the run whose service is measured by itself, from one time until before another. */
+  /**
+   * A part of the run whose service is measured separately.
+   *
+   * @param from where it begins
+   * @param until where it ends, itself excluded
+   */
   public record Window(String name, long from, long until) {}
 
-  /** What a metric of the verdict is expected to be, such as {@code service >= 0.9}. */
+  /** A condition on a metric of the verdict, such as {@code service >= 0.9}. */
   public record Expectation(String metric, Comparison comparison, double bound) {
     /** Whether a metric meets it; one that is absent (null) does not. */
     public boolean isMetBy(Double value) {
@@ -216,7 +229,9 @@
     return backendGroups.stream().mapToInt(BackendGroup::count).sum();
   }
 
-  /** The group of a backend; groups take turns, so that an id does not reveal the group. */
+  /**
+   * The group of the backend of this index. Groups alternate, so that an id doesn't show the group.
+   */
   public BackendGroup groupOf(int backend) {
     int remaining = backend;
     for (int round = 0; ; round++) {
@@ -242,10 +257,7 @@
     return workloads.stream().mapToDouble(Workload::meanWork).average().orElse(1);
   }
 
-  /**
-   * A new measure of the load that one backend sustains while it is cold, by the terms of this
-   * scenario.
-   */
+  /** Creates an empty {@link ColdBudget} with the terms of this scenario, for one backend. */
   public ColdBudget coldBudget() {
     return new ColdBudget(terms.collapseMultiple, terms.collapseWindow, meanWork());
   }
--- a/lab/src/main/java/wheattrack/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/ScenarioReader.java
@@ -20,8 +20,9 @@
 import wheattrack.lab.scenario.Scenario.Workload;
 
 /**
- * Reads a scenario from TOML and checks it. A fault of the text ends in {@link
- * wheattrack.config.InvalidConfigurationException}, which names file, line and key.
+ * Reads a scenario from TOML and checks it. Throws {@link
+ * wheattrack.config.InvalidConfigurationException}, which names file, line and key, if the text is
+ * invalid.
  */
 public final class ScenarioReader {
   private static final String SCENARIO_DIRECTORY = "/scenarios/";
@@ -41,8 +42,10 @@
   }
 
   /**
-   * Reads a file with some of its keys, given by their paths, set to other values, written as in
-   * TOML. The scenario's name is that of the file below a directory named scenarios.
+   * Reads a file. The scenario's name is the file's path below a directory named scenarios, without
+   * the extension.
+   *
+   * @param overrides values that replace those of the file, written as in TOML, by key path
    */
   public static Scenario read(Path file, Map<String, String> overrides) {
     ConfigurationReader root = ConfigurationReader.read(file);
@@ -50,12 +53,12 @@
     return new ScenarioReader(nameOf(file), root).scenario();
   }
 
-  /** Reads a file; the scenario's name is that of the file below a directory named scenarios. */
+  /** Reads a file without overrides; see {@link #read(Path, Map)}. */
   public static Scenario read(Path file) {
     return read(file, Map.of());
   }
 
-  /** Reads a text. */
+  /** Reads a scenario of this name from a text. */
   public static Scenario parse(String name, String text) {
     return new ScenarioReader(name, ConfigurationReader.of(name, text)).scenario();
   }
@@ -70,7 +73,7 @@
     return name.replaceAll("\\.toml$", "");
   }
 
-  /** Reads the sections in a fixed order: of several faults of a text the first one is reported. */
+  /** Reads the sections in a fixed order: the first error found in it is the one reported. */
   private Scenario scenario() {
     String description = root.text("about", "");
     isVirtual = root.choice("clock", List.of("virtual", "real")).equals("virtual");
@@ -84,7 +87,7 @@
     Load load = load(root.section("load"));
     Hints hints = hints(root.section("hints"));
     Clients clients = clients(root.section("clients"));
-    long frontNotice = Durations.milliseconds(root.section("front"), "notice-ms", 1000, 0);
+    long frontDetectionDelay = Durations.milliseconds(root.section("front"), "notice-ms", 1000, 0);
     Discovery discovery = discovery(root.section("list"));
     Network network = network(root.section("net"));
     Terms terms = terms(root.section("rules"));
@@ -107,7 +110,7 @@
         load,
         hints,
         clients,
-        frontNotice,
+        frontDetectionDelay,
         discovery,
         network,
         terms,
@@ -135,7 +138,8 @@
       groups.add(group);
       total += group.count();
       if (total > MAX_BACKENDS) {
-        throw section.fault("count", "over 1000 servers in all");
+        throw section.fault(
+            "count", "expected at most " + MAX_BACKENDS + " in all groups together, got " + total);
       }
     }
     if (groups.isEmpty()) {
@@ -153,13 +157,15 @@
     double[] trace = section.numbers("trace");
     boolean isTrace = shape == Load.Shape.TRACE;
     if (isTrace && trace.length == 0) {
-      throw section.fault("trace", "missing");
+      throw section.fault("trace", "missing, expected rates for shape trace");
     }
     if (!isTrace && trace.length > 0) {
-      throw section.fault("trace", "given, but shape is no trace");
+      throw section.fault(
+          "trace",
+          "expected only with shape trace, got shape " + shape.name().toLowerCase(Locale.ROOT));
     }
     if (Arrays.stream(trace).anyMatch(rate -> !(rate >= 0))) { // NaN is rejected as well
-      throw section.fault("trace", "a negative rate");
+      throw section.fault("trace", "expected rates of at least 0, got " + Arrays.toString(trace));
     }
     return new Load(
         shape,
@@ -191,7 +197,9 @@
             Durations.milliseconds(section, "notice-ms", 1000, 0),
             section.number("entries-per-second", 0, 0, 1e9));
     if (!isVirtual && discovery.entriesPerSecond() > 0) {
-      throw section.fault("entries-per-second", "can't be played on the real clock");
+      throw section.fault(
+          "entries-per-second",
+          "expected 0 on the real clock, got " + discovery.entriesPerSecond());
     }
     return discovery;
   }
@@ -234,7 +242,14 @@
               Durations.seconds(
                   section, "until-s", Scenario.toSeconds(duration), 0, Durations.MAX_SECONDS));
       if (window.until() > duration || window.from() >= window.until()) {
-        throw section.fault("until-s", "past the end, or not after from-s");
+        throw section.fault(
+            "until-s",
+            "expected after from-s ("
+                + Scenario.toSeconds(window.from())
+                + ") and at most the run's "
+                + Scenario.toSeconds(duration)
+                + " s, got "
+                + Scenario.toSeconds(window.until()));
       }
       found.add(window);
     }
@@ -257,7 +272,7 @@
         expectations.add(
             new Expectation(metric, Comparison.ofSign(parts[0]), Double.parseDouble(parts[1])));
       } catch (NumberFormatException e) {
-        throw section.fault(metric, "not a number: " + parts[1]);
+        throw section.fault(metric, "expected a number after the sign, got " + parts[1]);
       }
     }
     return List.copyOf(expectations);
--- a/lab/src/main/java/wheattrack/lab/scenario/WorkloadReader.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/WorkloadReader.java
@@ -11,7 +11,7 @@
 import wheattrack.config.ConfigurationReader;
 import wheattrack.lab.scenario.Scenario.Workload;
 
-/** Reads the request classes of a scenario with what clients send of each. */
+/** Reads the workloads of a scenario: each request class with what clients send of it. */
 final class WorkloadReader {
   /** Keywords of {@link Idempotency}, in the order of its constants. */
   private static final List<String> IDEMPOTENCY_KEYWORDS =
@@ -19,28 +19,33 @@
 
   private WorkloadReader() {}
 
-  /** Reads the workloads of the scenario, at least one, with names that differ. */
+  /** Reads the workloads of the scenario: at least one, each with a name of its own. */
   static List<Workload> read(ConfigurationReader root) {
-    List<Workload> found = new ArrayList<>();
+    List<Workload> workloads = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (ConfigurationReader section : root.sections("rule-set")) {
       String name = section.text("name");
       if (!names.add(name) || !name.matches("[a-z0-9-]+")) {
-        throw section.fault("name", "twice, or not of a-z, 0-9 and -");
+        throw section.fault("name", "expected a unique name of a-z, 0-9 and -, got '" + name + "'");
       }
-      found.add(workload(section, name, found.size()));
+      workloads.add(workload(section, name, workloads.size()));
     }
-    if (found.isEmpty()) {
+    if (workloads.isEmpty()) {
       throw root.fault("rule-set", "missing");
     }
-    return List.copyOf(found);
+    return List.copyOf(workloads);
   }
 
   private static Workload workload(ConfigurationReader section, String name, int index) {
     long latencyObjective = Durations.milliseconds(section, "target-ms", 600, 1);
     long clientTimeout = Durations.milliseconds(section, "timeout-ms", 1200, 1);
     if (latencyObjective > clientTimeout) {
-      throw section.fault("target-ms", "past timeout-ms");
+      throw section.fault(
+          "target-ms",
+          "expected at most timeout-ms ("
+              + Scenario.toMillis(clientTimeout)
+              + "), got "
+              + Scenario.toMillis(latencyObjective));
     }
     Idempotency idempotency =
         Idempotency.values()[
--- a/lab/src/main/java/wheattrack/lab/scenario/package-info.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Scenario files: a strict reader of their TOML, the immutable values that it gives, and the
- * settings that follow from them for the proxies.
+ * Scenario files: a reader of their TOML that rejects unknown keys, the immutable values that it
+ * returns, and the proxies' settings that are derived from them.
  */
 package wheattrack.lab.scenario;
--- a/lab/src/test/java/wheattrack/lab/report/HtmlReportTest.java
+++ b/lab/src/test/java/wheattrack/lab/report/HtmlReportTest.java
@@ -15,16 +15,18 @@
 import wheattrack.lab.referee.LedgerRecord.Answer;
 import wheattrack.lab.referee.Referee;
 
-/** The HTML report of a run: its parts have a fixed order. */
+/** The HTML report of a run is complete, and its axis labels are in order. */
 class HtmlReportTest {
   private static final Pattern VERTICAL_LABEL =
       Pattern.compile("stroke='#ddd'/><text x='\\d+' y='[\\d.]+' text-anchor='end'>([^<]*)</text>");
 
   @TempDir Path directory;
 
-  /** An operation that is rejected in the first second: the plots have labels to 100% and to 1. */
+  /**
+   * One rejection in the first second: the axis of service ends at 100%, that of rejections at 1.
+   */
   @Test
-  void axisLabelsStandInRisingOrder() throws Exception {
+  void axisLabelsAreInAscendingOrder() throws Exception {
     Referee referee = new Referee(ScenarioTexts.smallScenario("replayable", ""));
     referee.accept(LedgerRecord.operationStarted(0, 1, 0, 10));
     referee.accept(LedgerRecord.requestAccepted(0, 1, 1, 0, 9_000, 0));
