--- a/lab/src/main/java/wheattrack/lab/soak/HttpStream.java
+++ b/lab/src/main/java/wheattrack/lab/soak/HttpStream.java
@@ -8,25 +8,28 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** Plain HTTP/1.1 messages with a known length, on a blocking socket. One thread at a time. */
+/**
+ * Writes text to a blocking socket and reads HTTP/1.1 messages of known length from it. For one
+ * thread at a time.
+ */
 final class HttpStream {
   /**
-   * A message.
+   * A received message without its body.
    *
-   * @param head its first line and headers
+   * @param head its start line and headers, up to the empty line that ends them
    */
   record Message(String head) {
-    /** The status of an answer. */
+    /** The status code, if the message is a response. */
     int status() {
       return Integer.parseInt(head.split(" ", 3)[1]);
     }
 
-    /** Whether the sender will close the connection. */
-    boolean saysClose() {
+    /** Whether the sender announces that it will close the connection. */
+    boolean announcesClose() {
       return header("Connection").equalsIgnoreCase("close");
     }
 
-    /** The value of a header, or an empty text. */
+    /** The value of a header, or an empty string if the message does not have it. */
     String header(String name) {
       String prefix = name.toLowerCase(Locale.ROOT) + ":";
       for (String line : head.split("\r\n")) {
@@ -38,7 +41,10 @@
     }
   }
 
-  private static final int PEEK_MILLIS = 1;
+  private static final String END_OF_HEAD = "\r\n\r\n";
+
+  /** How long {@link #isEnded} waits for the end of the stream. */
+  private static final int END_CHECK_MILLIS = 1;
 
   private final Socket socket;
   private final InputStream input;
@@ -52,10 +58,10 @@
     socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Whether the peer has closed its side by now; nothing may be received meanwhile. */
+  /** Whether the peer has closed its side. Must not be called while a message is being received. */
   boolean isEnded() throws IOException {
     int timeout = socket.getSoTimeout();
-    socket.setSoTimeout(PEEK_MILLIS);
+    socket.setSoTimeout(END_CHECK_MILLIS);
     try {
       input.mark(1);
       boolean isEnded = input.read() < 0;
@@ -68,10 +74,14 @@
     }
   }
 
-  /** The next message, its body dropped; null if the stream ends before it is complete. */
+  /**
+   * Reads the next message and skips its body; null if the stream ends within or before its head.
+   */
   Message read() throws IOException {
     StringBuilder head = new StringBuilder();
-    while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
+    int endLength = END_OF_HEAD.length();
+    while (head.length() < endLength
+        || !head.substring(head.length() - endLength).equals(END_OF_HEAD)) {
       int next = input.read();
       if (next < 0) {
         return null;
--- a/lab/src/main/java/wheattrack/lab/soak/SoakBackends.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakBackends.java
@@ -10,9 +10,10 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** The backends and the discovery service of a soak, on threads of their own. */
+/** The backends and the discovery service of a soak run, with a thread for each connection. */
 final class SoakBackends implements AutoCloseable {
-  private static final int COUNT = 3;
+  private static final int BACKEND_COUNT = 3;
+  private static final int LISTEN_BACKLOG = 500;
   private static final int SERVICE_MILLIS = 4;
   private static final int KEEP_ALIVE_MILLIS = 1000;
   private static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -21,15 +22,18 @@
   private final List<Socket> watches = new CopyOnWriteArrayList<>();
   private final ServerSocket discovery;
 
-  /** When each attempt of a request was received completely, by the request's id. */
+  /**
+   * The times at which the attempts of each request were received completely, by {@link
+   * System#nanoTime}; the key is the request's id.
+   */
   private final Map<String, List<Long>> attempts = new ConcurrentHashMap<>();
 
   private volatile boolean isFirstHanging;
   private volatile boolean isFirstDraining;
 
-  /** Opens all of them at free ports. */
+  /** Listens at a free port for each backend and for the discovery service. */
   SoakBackends() throws IOException {
-    for (int i = 0; i < COUNT; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
       boolean isFirst = i == 0;
       listeners.add(listen(socket -> serve(socket, isFirst)));
     }
@@ -37,7 +41,7 @@
   }
 
   private static ServerSocket listen(SoakThreads.SocketTask task) throws IOException {
-    ServerSocket listener = new ServerSocket(0, 500, InetAddress.getLoopbackAddress());
+    ServerSocket listener = new ServerSocket(0, LISTEN_BACKLOG, InetAddress.getLoopbackAddress());
     SoakThreads.start(
         () -> {
           while (!listener.isClosed()) {
@@ -52,18 +56,18 @@
     return discovery.getLocalPort();
   }
 
-  /** From now on the first backend answers nothing. */
+  /** Makes the first backend leave all further requests unanswered. */
   void hangFirst() {
     isFirstHanging = true;
   }
 
-  /** Lists the first backend as draining. */
+  /** Lists the first backend as draining, and sends the list to each watch. */
   void drainFirst() {
     isFirstDraining = true;
     watches.removeIf(watch -> !sendList(watch));
   }
 
-  /** Sends the list; returns whether the watch still takes it. */
+  /** Sends the endpoint list; returns whether the watch's connection was still open. */
   private boolean sendList(Socket watch) {
     try {
       sendChunk(watch, list() + "\n");
@@ -73,7 +77,10 @@
     }
   }
 
-  /** When the attempts of each request were received, nanoseconds, by the request's id. */
+  /**
+   * The times at which the attempts of each request were received, by {@link System#nanoTime}; the
+   * key is the request's id. The map is filled while the backends run.
+   */
   Map<String, List<Long>> attempts() {
     return attempts;
   }
@@ -117,7 +124,7 @@
 
   private String list() {
     StringBuilder entries = new StringBuilder();
-    for (int i = 0; i < COUNT; i++) {
+    for (int i = 0; i < BACKEND_COUNT; i++) {
       String state = i == 0 && isFirstDraining ? "DRAINING" : "SERVING";
       entries
           .append(i == 0 ? "" : ",")
--- a/lab/src/main/java/wheattrack/lab/soak/SoakClient.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakClient.java
@@ -13,19 +13,36 @@
 import wheattrack.lab.soak.SoakPlan.ClientKind;
 
 /**
- * One client on a thread of its own. It goes on using a connection until that ends, also after the
- * proxy has said that it will close it.
+ * One client, for a thread of its own. It uses a connection until that is closed, even after the
+ * proxy has announced that it will close it.
  */
 final class SoakClient {
-  /** How long an answer may take beyond the request's timeout; the operators' figure. */
+  /** How long after the request's timeout the operators' pages allow an answer. */
   private static final int SLACK_MILLIS = 500;
 
-  /** How long a client that stops amid a message may be kept; the operators' figure. */
-  private static final int STOPPED_MILLIS = 3000;
+  /**
+   * How long the operators' pages allow the proxy to neither answer nor close the connection of a
+   * client that stops amid a message.
+   */
+  private static final int MAX_STOPPED_MILLIS = 3000;
 
-  private static final int RETRY_MILLIS = 20;
+  private static final int RECONNECT_PAUSE_MILLIS = 20;
+
+  /** Exclusive bound of the pause between two requests or connections. */
   private static final int MAX_PAUSE_MILLIS = 8;
+
+  /** Exclusive bound of the pause between two requests of a resting client. */
   private static final int MAX_REST_MILLIS = 2500;
+
+  /** Distance between the random seeds of the clients of successive plan seeds. */
+  private static final int CLIENT_SEEDS_PER_PLAN = 1000;
+
+  /** How many bytes a stopping client leaves out to end within the body. */
+  private static final int MISSING_BYTES_IN_BODY = 1;
+
+  /** How many bytes a stopping client leaves out to end within the head. */
+  private static final int MISSING_BYTES_IN_HEAD = 40;
+
   private static final String[] CLASSES = {"look", "mark", "pay"};
   private static final String NON_IDEMPOTENT = "pay";
 
@@ -39,17 +56,17 @@
     this.run = run;
     this.index = index;
     kind = SoakPlan.clientKind(index);
-    random = new Random(run.plan().seed() * 1000 + index);
+    random = new Random(run.plan().seed() * CLIENT_SEEDS_PER_PLAN + index);
   }
 
-  /** One connection and what was sent on it. */
+  /** One connection, and how many bytes of answered requests were sent on it. */
   private final class Connection implements AutoCloseable {
     private final Socket socket = new Socket(InetAddress.getLoopbackAddress(), run.port());
     private final HttpStream stream = new HttpStream(socket);
     private final long connectedAt = System.nanoTime();
     private long bytesSent;
     private boolean isFirst = true;
-    private boolean saidClose;
+    private boolean isCloseAnnounced;
 
     Connection() throws IOException {
       socket.setTcpNoDelay(true);
@@ -61,8 +78,8 @@
     }
 
     /**
-     * Sends as many requests at once as there are texts, and reads their answers; returns whether
-     * the connection is still open. A connection that the proxy has closed by then is not used.
+     * Sends the requests together and reads their answers; returns whether the connection is still
+     * open. Sends nothing if the proxy has already closed the connection.
      */
     boolean exchange(String... requests) {
       Phase phase = run.phase();
@@ -73,11 +90,11 @@
         }
         send(String.join("", requests));
       } catch (IOException e) {
-        return ended(phase, requests.length);
+        return recordUnanswered(phase, requests.length);
       }
       for (int i = 0; i < requests.length; i++) {
         if (!readAnswer(phase, startedAt)) {
-          return ended(phase, requests.length - i);
+          return recordUnanswered(phase, requests.length - i);
         }
         bytesSent += requests[i].length();
       }
@@ -91,7 +108,7 @@
         if (answer == null) {
           return false;
         }
-        saidClose |= answer.saysClose();
+        isCloseAnnounced |= answer.announcesClose();
         outcome = outcome(answer.status());
       } catch (SocketTimeoutException e) {
         outcome = Outcome.LATE;
@@ -117,7 +134,7 @@
     }
 
     private SoakRun.Ending ending() {
-      if (!saidClose) {
+      if (!isCloseAnnounced) {
         return SoakRun.Ending.UNANNOUNCED;
       }
       boolean isPipelined = kind == ClientKind.PIPELINING;
@@ -128,8 +145,11 @@
       return isFirst ? Position.FIRST : Position.FURTHER;
     }
 
-    /** The connection has ended with this many requests unanswered; the log tells the rest. */
-    private boolean ended(Phase phase, int unanswered) {
+    /**
+     * Records that the connection was closed with this many requests unanswered, to be compared
+     * with the proxy's log after the run. Returns false, as the connection is not open.
+     */
+    private boolean recordUnanswered(Phase phase, int unanswered) {
       int port = socket.getLocalPort();
       long endedAt = System.currentTimeMillis();
       for (int i = 0; i < unanswered; i++) {
@@ -154,23 +174,24 @@
     };
   }
 
-  /** Uses one connection after another until the run is over. */
-  void use() throws InterruptedException {
+  /** Opens and uses one connection after another while the run lets clients connect. */
+  void useConnections() throws InterruptedException {
     while (run.mayConnect()) {
       try (Connection connection = new Connection()) {
         switch (kind) {
           case STOPPING -> stopAmidMessage(connection);
-          case LEAVING -> leave(connection);
-          default -> useUntilItEnds(connection);
+          case LEAVING -> sendAndDisconnect(connection);
+          default -> useUntilClosed(connection);
         }
       } catch (IOException e) {
-        Thread.sleep(RETRY_MILLIS); // refused, as no process listens
+        // The connection was refused, as no process listens.
+        Thread.sleep(RECONNECT_PAUSE_MILLIS);
       }
       Thread.sleep(random.nextInt(MAX_PAUSE_MILLIS));
     }
   }
 
-  private void useUntilItEnds(Connection connection) throws InterruptedException {
+  private void useUntilClosed(Connection connection) throws InterruptedException {
     boolean isOpen = true;
     while (isOpen && !run.isOver()) {
       isOpen =
@@ -189,6 +210,7 @@
     return request(className, nextId(className), body);
   }
 
+  /** The class's first letter, the client's index and the request's number, all in hexadecimal. */
   private String nextId(String className) {
     requestCount++;
     return String.format("%x%04x%06x", className.charAt(0) & 0xff, index, requestCount);
@@ -209,24 +231,27 @@
         + body;
   }
 
-  /** Half a head or half a body, then silence: the proxy must answer or close in time. */
+  /**
+   * Sends a request without its last bytes; the proxy must answer or close the connection in time.
+   */
   private void stopAmidMessage(Connection connection) throws IOException {
     String text = request(NON_IDEMPOTENT, nextId(NON_IDEMPOTENT), "hi");
-    connection.send(text.substring(0, text.length() - (random.nextBoolean() ? 1 : 40)));
-    connection.socket.setSoTimeout(STOPPED_MILLIS + SLACK_MILLIS);
+    int missingBytes = random.nextBoolean() ? MISSING_BYTES_IN_BODY : MISSING_BYTES_IN_HEAD;
+    connection.send(text.substring(0, text.length() - missingBytes));
+    connection.socket.setSoTimeout(MAX_STOPPED_MILLIS + SLACK_MILLIS);
     try {
       connection.stream.read();
     } catch (SocketTimeoutException e) {
       run.counts().count(Event.STOPPED_CLIENT_KEPT, 1);
-      run.addKeptPort(connection.socket.getLocalPort());
+      run.addOverdueStoppedClient(connection.socket.getLocalPort());
     }
   }
 
-  private void leave(Connection connection) throws IOException, InterruptedException {
+  private void sendAndDisconnect(Connection connection) throws IOException, InterruptedException {
     String id = nextId(NON_IDEMPOTENT);
     connection.send(request(NON_IDEMPOTENT, id, "hi"));
     Thread.sleep(random.nextInt(MAX_PAUSE_MILLIS));
     connection.close();
-    run.addDeparture(id, System.nanoTime());
+    run.addDisconnection(id, System.nanoTime());
   }
 }
--- a/lab/src/main/java/wheattrack/lab/soak/SoakCommand.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakCommand.java
@@ -4,15 +4,17 @@
 import java.nio.file.Path;
 import java.util.Map;
 
-/** Plays seeds one after another and prints a line for each. */
+/** Plays soak runs one after another, each from its own seed, and prints the results. */
 public final class SoakCommand {
   private SoakCommand() {}
 
   /**
-   * Plays the seeds; the line of a seed that broke a rule says how to repeat it.
+   * Plays the seeds. If a seed broke a rule, prints which rules and the command that repeats it.
    *
    * @param home the repository's folder
    * @param jar the proxy's program
+   * @param firstSeed the first seed to play
+   * @param lastSeed the last seed to play, not below the first
    * @return whether no seed broke a rule
    */
   public static boolean run(Path home, Path jar, long firstSeed, long lastSeed)
--- a/lab/src/main/java/wheattrack/lab/soak/SoakCounts.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakCounts.java
@@ -4,54 +4,70 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts how requests and processes ended. Any thread may call it. */
+/** Counts the outcomes of requests and the failures of a soak run. Thread-safe. */
 final class SoakCounts {
   /** When a request was sent. */
   enum Phase {
     /** Before the first SIGTERM. */
     SERVING,
-    /** After it. */
+    /** After the first SIGTERM. */
     LEAVING
   }
 
-  /** Which request of its connection one is. */
+  /** The position of a request on its connection. */
   enum Position {
+    /** The first request of the connection. */
     FIRST,
+    /** Any later request of the connection. */
     FURTHER
   }
 
   /** How a request ended for its client. */
   enum Outcome {
+    /** Answered with status 200. */
     ANSWERED,
+    /** Answered with status 429 or 503. */
     REJECTED,
+    /** Answered with any other status. */
     FAILED,
-    /** Its connection ended unanswered, as the proxy had said; it had not been read on its own. */
+    /**
+     * Its connection was closed before the answer, as an earlier answer had announced. The proxy
+     * had read none of the request, or may have read it together with others of a pipeline.
+     */
     CLOSED_AS_SAID,
-    /** Its connection ended unanswered, and the proxy had read none of the request. */
+    /**
+     * Its connection was closed before the answer without announcement, and the proxy had read none
+     * of the request.
+     */
     CLOSED_UNREAD,
-    /** Its connection ended unanswered, and the proxy had read bytes of the request. */
+    /** Its connection was closed before the answer, and the proxy had read bytes of the request. */
     CLOSED_AFTER_READING,
-    /** Answered later than the operators allow, or never. */
+    /** Not answered within the time that the operators' pages allow. */
     LATE
   }
 
-  /** What else is counted. */
+  /** A failure that is counted apart from the outcomes of requests. */
   enum Event {
-    /** A non-idempotent request was received by backends more than once. */
+    /** Backends received a non-idempotent request more than once. */
     RUN_TWICE,
-    /** An attempt began more than the allowed time after its client had closed. */
+    /** A backend received an attempt too long after the client had closed its connection. */
     SENT_AFTER_CLIENT_LEFT,
-    /** A client that stopped amid a message got neither an answer nor a close in time. */
+    /**
+     * A client that stopped amid a message got neither an answer nor a closed connection in time.
+     */
     STOPPED_CLIENT_KEPT,
-    /** A process had to be killed, as it had not ended by the kill. */
+    /** A process was still alive when the time for its SIGKILL had come. */
     ALIVE_AT_KILL,
-    /** A process ended before SIGTERM, or never became ready. */
+    /** A process ended without SIGTERM, or did not become ready in time. */
     CRASHED,
-    /** The log says that bytes were read from a connection after it was closed. */
+    /**
+     * The proxy's log has "client closed unanswered": bytes were read from a connection after it
+     * was closed.
+     */
     READ_DROPPED,
-    /** The log says "a step failed". */
+    /** The proxy's log has "a step failed". */
     STEP_FAILED,
-    /** The log says "past its due". */
+    /** The proxy's log has "past its due". */
     PAST_DUE
   }
 
@@ -86,28 +102,31 @@
   }
 
   /**
-   * What the operators' pages forbid, by name. Clients may find a resting connection closed over a
-   * request that was not read, and beside a crowd a new one too.
+   * The counts of what the operators' pages forbid, by the name of the event or the key of the
+   * requests. They allow the proxy to close a connection without reading a further request on it,
+   * and, beside a crowd, without reading the first request either.
+   *
+   * @param hasCrowd whether a crowd of idle clients was connected during the run
    */
   synchronized Map<String, Integer> violations(boolean hasCrowd) {
     Map<String, Integer> violations = new TreeMap<>();
     events.forEach((event, count) -> violations.put(event.name(), count));
     requests.forEach(
         (key, count) -> {
-          boolean isLost =
+          boolean isViolation =
               switch (key.outcome) {
                 case CLOSED_AFTER_READING, LATE -> true;
                 case CLOSED_UNREAD -> key.position == Position.FIRST && !hasCrowd;
                 default -> false;
               };
-          if (isLost) {
+          if (isViolation) {
             violations.put(key.toString(), count);
           }
         });
     return violations;
   }
 
-  /** All requests by phase, position and outcome. */
+  /** The counts of all requests by phase, position and outcome, as text. */
   synchronized String requestsText() {
     return requests.toString();
   }
--- a/lab/src/main/java/wheattrack/lab/soak/SoakCrowd.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakCrowd.java
@@ -9,7 +9,10 @@
 import java.nio.channels.SocketChannel;
 import java.nio.charset.StandardCharsets;
 
-/** Clients that send nothing, or half a head, and connect again as soon as they are closed. */
+/**
+ * Clients that send nothing or the beginning of a request head, and reconnect as soon as the proxy
+ * closes their connections. One thread serves them all.
+ */
 final class SoakCrowd implements AutoCloseable {
   private static final byte[] HALF_HEAD = "GET /".getBytes(StandardCharsets.US_ASCII);
   private static final int POLL_MILLIS = 50;
@@ -20,13 +23,13 @@
   private final Selector selector = Selector.open();
   private volatile boolean isClosed;
 
-  /** A crowd, not connected yet, in front of a port of this machine. */
+  /** Sets up clients of a port of this machine; {@link #start} connects them. */
   SoakCrowd(int port, boolean sendsHalfHead) throws IOException {
     address = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
     this.sendsHalfHead = sendsHalfHead;
   }
 
-  /** Connects that many clients. */
+  /** Connects this many clients, on a new thread. */
   void start(int size) {
     SoakThreads.start(() -> run(size));
   }
@@ -75,7 +78,7 @@
         connect();
       }
     } catch (IOException e) {
-      isClosed = true; // no socket is left, or the run is over
+      isClosed = true; // no file descriptor is left, or the run is over
     }
   }
 
--- a/lab/src/main/java/wheattrack/lab/soak/SoakProcess.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakProcess.java
@@ -15,9 +15,11 @@
   private static final String DEPLOYED_JAR = "proxy/target/wheattrack.jar";
   private static final String READY_LINE = "phase SERVING";
 
-  /** The operators' page gives a proxy this long to be ready. */
+  /** The operators' pages allow a proxy this long until it is ready. */
   private static final long READY_SECONDS = 30;
 
+  private static final int LOG_POLL_MILLIS = 10;
+
   private final Process process;
   private final Path log;
 
@@ -26,8 +28,9 @@
    *
    * @param home the repository's folder
    * @param jar the proxy's program
-   * @param directory where its files are: {@code config.json}, {@code operator.toml}, its log
-   * @param name of its log
+   * @param directory holds its {@code config.json} and {@code operator.toml}; its log is written
+   *     there
+   * @param name name of its log file, without the ending
    */
   SoakProcess(Path home, Path jar, Path directory, String name) throws IOException {
     log = directory.resolve(name + ".log");
@@ -49,19 +52,19 @@
   private static String runCommand(Path home) throws IOException {
     Matcher matcher = RUN_LINE.matcher(Files.readString(home.resolve(DEPLOY_FILE)));
     if (!matcher.find()) {
-      throw new IOException(DEPLOY_FILE + " has no run line");
+      throw new IOException(DEPLOY_FILE + ": expected a line 'run = \"COMMAND\"', found none");
     }
     return matcher.group("command");
   }
 
-  /** Waits until the process serves; returns whether it does so in time. */
+  /** Waits until the process logs that it serves; returns whether it did so in time. */
   boolean awaitReady() throws IOException, InterruptedException {
     long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(READY_SECONDS);
     while (process.isAlive() && System.nanoTime() < deadline) {
       if (logText().contains(READY_LINE)) {
         return true;
       }
-      Thread.sleep(10);
+      Thread.sleep(LOG_POLL_MILLIS);
     }
     return false;
   }
@@ -77,13 +80,13 @@
     }
   }
 
-  /** Kills the process, and waits until it is gone. */
+  /** Kills the process and waits until it has ended. */
   void kill() throws InterruptedException {
     process.destroyForcibly();
     process.waitFor();
   }
 
-  /** What it has logged so far. */
+  /** The text of its log so far. */
   String logText() throws IOException {
     return Files.readString(log);
   }
--- a/lab/src/main/java/wheattrack/lab/soak/SoakRun.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakRun.java
@@ -25,38 +25,46 @@
 import wheattrack.lab.soak.SoakPlan.BackendTrouble;
 import wheattrack.lab.soak.SoakPlan.Crowd;
 
-/** Plays one seed, from the start of the proxy to its kill, and counts how all requests ended. */
+/** Plays one plan, from the start of the proxy to its kill, and counts how all requests ended. */
 final class SoakRun {
-  /** The clients' timeout, which is the longest deadline of the run. */
+  /** The timeout of each request, which is the longest deadline of the run. */
   static final int REQUEST_TIMEOUT_MILLIS = 1000;
 
   /**
-   * SIGKILL comes this long after SIGTERM at the earliest: "the longest deadline (3 s at most) and
-   * 0.7 s more", PROTOCOL, "Figures"; the same after an upgrade (DAYS, "Replacing the process").
+   * SIGKILL is sent this long after SIGTERM at the earliest: "the longest deadline (3 s at most)
+   * and 0.7 s more", PROTOCOL, "Figures"; the same after an upgrade (DAYS, "Replacing the
+   * process").
    */
   private static final int KILL_MILLIS = REQUEST_TIMEOUT_MILLIS + 700;
 
-  /** New connections go on coming this long after SIGTERM (PROTOCOL, "Figures"). */
+  /** Clients open new connections until this long after SIGTERM (PROTOCOL, "Figures"). */
   private static final int NEW_CONNECTIONS_MILLIS = 400;
 
   /**
-   * A client that has closed has gone; an attempt after 0.1 s, and 50 ms on sockets, is a break.
+   * An attempt that a backend receives later than this after its client has closed the connection
+   * breaks a rule: 0.1 s is allowed, and 50 ms more for the delay of sockets.
    */
-  private static final long DEPARTURE_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
+  private static final long MAX_ATTEMPT_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(150);
 
-  private static final int CLIENTS = 24;
-  private static final int DESCRIPTORS = 256;
-  private static final int UPGRADED_MILLIS = 700;
+  private static final int CLIENT_COUNT = 24;
+  private static final int SOCKET_LIMIT = 256;
+
+  /** How long the newer process is still used after the older one was killed. */
+  private static final int AFTER_UPGRADE_MILLIS = 700;
+
+  /** Prefix of the ids of requests of the class {@code pay}. */
   private static final String NON_IDEMPOTENT_PREFIX = Integer.toHexString('p');
 
-  /** A client's end and its line in the log are at most this far apart. */
+  /**
+   * The greatest difference between a client's time of a close and that of the proxy's log line.
+   */
   private static final long MAX_LOG_DISTANCE_MILLIS = 500;
 
-  /** A client's end in the log: when, its port, the bytes received from it. */
+  /** The log line of a closed client connection: time, client's port, bytes received from it. */
   private static final Pattern CLOSED_LINE =
       Pattern.compile("(?m)^(\\S+) \\w+ client closed: \\S*:(\\d+), age \\d+ ms, (\\d+) bytes");
 
-  /** A line of the log, by {@link #CLOSED_LINE}; the time in milliseconds since 1970. */
+  /** A log line that matches {@link #CLOSED_LINE}; the time in milliseconds since 1970. */
   private record ClosedClient(long time, int port, long bytes) {
     private static ClosedClient of(MatchResult line) {
       LocalDateTime time = LocalDateTime.parse(line.group(1));
@@ -67,22 +75,23 @@
     }
   }
 
-  /** What the proxy had said about the end of a connection before it came. */
+  /** Whether the proxy had announced the close of a connection. */
   enum Ending {
+    /** No answer said that the connection would be closed. */
     UNANNOUNCED,
     /** An answer said that the connection would be closed. */
     ANNOUNCED,
-    /** The same, while further requests may already have been on their way. */
+    /** An answer said so, when the client may already have sent further requests. */
     ANNOUNCED_AMID_PIPELINE
   }
 
   /**
-   * A request whose connection ended before its answer.
+   * A request whose connection was closed before its answer.
    *
-   * @param port the client's
-   * @param bytesBefore bytes that the client had sent before this request
-   * @param kind of its client
-   * @param endedAt when its client saw the end, milliseconds since 1970
+   * @param port the client's port
+   * @param bytesBefore bytes that the client had sent on the connection before this request
+   * @param kind kind of its client
+   * @param endedAt when its client detected the close, milliseconds since 1970
    */
   record Unanswered(
       Phase phase,
@@ -93,7 +102,7 @@
       SoakPlan.ClientKind kind,
       long endedAt) {
 
-    /** How it ended, given whether the proxy had read bytes of it. */
+    /** The outcome, given whether the proxy had read bytes of the request. */
     private Outcome outcome(boolean wasRead) {
       if (wasRead && ending != Ending.ANNOUNCED_AMID_PIPELINE) {
         return Outcome.CLOSED_AFTER_READING;
@@ -107,12 +116,12 @@
   private final Path jar;
   private final SoakCounts counts = new SoakCounts();
   private final ConcurrentLinkedQueue<Unanswered> unanswered = new ConcurrentLinkedQueue<>();
-  private final ConcurrentLinkedQueue<Integer> keptPorts = new ConcurrentLinkedQueue<>();
-  private final Map<String, Long> departures = new ConcurrentHashMap<>();
+  private final ConcurrentLinkedQueue<Integer> overdueStoppedPorts = new ConcurrentLinkedQueue<>();
+  private final Map<String, Long> disconnections = new ConcurrentHashMap<>();
   private final List<SoakProcess> processes = new ArrayList<>();
   private final int port;
 
-  /** When the first SIGTERM was sent, by System.nanoTime; 0: not yet. */
+  /** When the first SIGTERM was sent, by {@link System#nanoTime}; 0 before. */
   private volatile long terminatedAt;
 
   private volatile boolean isOver;
@@ -120,6 +129,7 @@
   /**
    * Sets up a run.
    *
+   * @param plan what to play
    * @param home the repository's folder, whose deploy file names the proxy's command
    * @param jar the proxy's program
    */
@@ -152,7 +162,10 @@
     return isOver;
   }
 
-  /** Whether clients still open connections: always before SIGTERM and while a newer process is. */
+  /**
+   * Whether clients still open connections: until the run is over, but without an upgrade only
+   * until {@link #NEW_CONNECTIONS_MILLIS} after SIGTERM.
+   */
   boolean mayConnect() {
     long terminated = terminatedAt;
     return !isOver
@@ -166,17 +179,20 @@
     unanswered.add(request);
   }
 
-  /** Notes that the client at this port stopped amid a message and was kept for too long. */
-  void addKeptPort(int clientPort) {
-    keptPorts.add(clientPort);
+  /**
+   * Records that the client at this port stopped amid a message and got neither an answer nor a
+   * closed connection in time.
+   */
+  void addOverdueStoppedClient(int clientPort) {
+    overdueStoppedPorts.add(clientPort);
   }
 
-  /** Notes that the client of a request has closed its connection at this time. */
-  void addDeparture(String id, long nanoTime) {
-    departures.put(id, nanoTime);
+  /** Records when the client of a request closed its connection, by {@link System#nanoTime}. */
+  void addDisconnection(String id, long nanoTime) {
+    disconnections.put(id, nanoTime);
   }
 
-  /** Plays the plan, and returns what was counted. */
+  /** Plays the plan and returns the counts. */
   SoakCounts play() throws IOException, InterruptedException {
     try (TemporaryDirectory directory = new TemporaryDirectory("wheattrack-soak");
         SoakBackends backends = new SoakBackends()) {
@@ -189,8 +205,8 @@
           process.kill();
         }
       }
-      judgeLogs();
-      judgeAttempts(backends.attempts());
+      evaluateLogs();
+      checkAttempts(backends.attempts());
       return counts;
     }
   }
@@ -218,7 +234,7 @@
       counts.count(Event.ALIVE_AT_KILL, first.isAlive() ? 1 : 0);
       first.kill();
       if (plan.isUpgrade()) {
-        Thread.sleep(UPGRADED_MILLIS);
+        Thread.sleep(AFTER_UPGRADE_MILLIS);
         counts.count(Event.CRASHED, processes.get(1).isAlive() ? 0 : 1);
       }
       isOver = true;
@@ -239,9 +255,9 @@
 
   private List<Thread> startClients() {
     List<Thread> threads = new ArrayList<>();
-    for (int i = 0; i < CLIENTS; i++) {
+    for (int i = 0; i < CLIENT_COUNT; i++) {
       SoakClient client = new SoakClient(this, i);
-      threads.add(SoakThreads.start(client::use));
+      threads.add(SoakThreads.start(client::useConnections));
     }
     return threads;
   }
@@ -285,11 +301,13 @@
 
   private void writeFiles(Path directory, int discoveryPort) throws IOException {
     StringBuilder classes = new StringBuilder();
-    String[] effects = {"look", "read_like", "mark", "idempotency_key", "pay", "non_idempotent"};
-    for (int i = 0; i < effects.length; i += 2) {
+    String[] namesAndEffects = {
+      "look", "read_like", "mark", "idempotency_key", "pay", "non_idempotent"
+    };
+    for (int i = 0; i < namesAndEffects.length; i += 2) {
       classes
           .append(i == 0 ? "" : ",")
-          .append("{'name':'" + effects[i] + "','effect':'" + effects[i + 1])
+          .append("{'name':'" + namesAndEffects[i] + "','effect':'" + namesAndEffects[i + 1])
           .append("','group':'all','window':5000000,'responseTarget':500000,'clientTimeout':")
           .append(TimeUnit.MILLISECONDS.toMicros(REQUEST_TIMEOUT_MILLIS) + "}");
     }
@@ -301,7 +319,7 @@
             + "','seed':'"
             + Long.toHexString(plan.seed())
             + "','limits':{'sockets':"
-            + DESCRIPTORS
+            + SOCKET_LIMIT
             + "},'settings':{'zones':['a'],'limits':{'maxDispatches':3,'mayCancel':true,"
             + "'retryAfter':true,'maxRetryAfter':2000000,'dialTimeout':250000,"
             + "'idleClose':30000000},'rules':{'askEvery':1000000},'ruleSets':["
@@ -311,26 +329,28 @@
     Files.writeString(directory.resolve("operator.toml"), "[log]\nreqs = true\n");
   }
 
-  private void judgeLogs() throws IOException {
+  private void evaluateLogs() throws IOException {
     List<ClosedClient> closed = new ArrayList<>();
     for (SoakProcess process : processes) {
       String text = process.logText();
       counts.count(Event.READ_DROPPED, occurrences(text, "client closed unanswered"));
       counts.count(Event.STEP_FAILED, occurrences(text, "a step failed"));
       counts.count(Event.PAST_DUE, occurrences(text, "past its due"));
-      for (int keptPort : keptPorts) {
-        printLinesOf(keptPort, text);
+      for (int clientPort : overdueStoppedPorts) {
+        printLinesOf(clientPort, text);
       }
       CLOSED_LINE.matcher(text).results().map(ClosedClient::of).forEach(closed::add);
     }
     Map<Integer, List<ClosedClient>> closedByPort =
         closed.stream().collect(Collectors.groupingBy(ClosedClient::port));
     for (Unanswered request : unanswered) {
-      judge(request, closedByPort.getOrDefault(request.port, List.of()));
+      countUnanswered(request, closedByPort.getOrDefault(request.port, List.of()));
     }
   }
 
-  /** Shows what the proxy logged about a client that was kept for too long, and its phases. */
+  /**
+   * Prints the log lines of a client that was closed too late, and those of the process's phases.
+   */
   private static void printLinesOf(int clientPort, String log) {
     System.out.println("  kept: port " + clientPort);
     log.lines()
@@ -342,8 +362,11 @@
     return text.split(Pattern.quote(part), -1).length - 1;
   }
 
-  /** Ports are used again: the connection is the one whose close was logged nearest in time. */
-  private void judge(Unanswered request, List<ClosedClient> closedAtPort) {
+  /**
+   * Counts the outcome of an unanswered request by how many bytes the proxy read on its connection.
+   * As ports are reused, the connection is the one whose logged close is nearest in time.
+   */
+  private void countUnanswered(Unanswered request, List<ClosedClient> closedAtPort) {
     long received =
         closedAtPort.stream()
             .filter(client -> Math.abs(client.time - request.endedAt) < MAX_LOG_DISTANCE_MILLIS)
@@ -357,15 +380,15 @@
     }
   }
 
-  private void judgeAttempts(Map<String, List<Long>> attempts) {
+  private void checkAttempts(Map<String, List<Long>> attempts) {
     attempts.forEach(
         (id, times) -> {
           if (id.startsWith(NON_IDEMPOTENT_PREFIX) && times.size() > 1) {
             counts.count(Event.RUN_TWICE, 1);
           }
-          Long departure = departures.get(id);
-          if (departure != null
-              && times.stream().anyMatch(time -> time - departure > DEPARTURE_NANOS)) {
+          Long disconnectedAt = disconnections.get(id);
+          if (disconnectedAt != null
+              && times.stream().anyMatch(time -> time - disconnectedAt > MAX_ATTEMPT_DELAY_NANOS)) {
             counts.count(Event.SENT_AFTER_CLIENT_LEFT, 1);
           }
         });
--- a/lab/src/main/java/wheattrack/lab/soak/SoakThreads.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakThreads.java
@@ -2,14 +2,14 @@
 
 import java.net.Socket;
 
-/** Starts the soak's daemon threads, each of which ends at its first error. */
+/** Starts the daemon threads of soak runs. A thread ends silently at its first exception. */
 final class SoakThreads {
-  /** What a thread does. */
+  /** The work of a thread. */
   interface Task {
     void run() throws Exception;
   }
 
-  /** What a thread does with a connection. */
+  /** The work of a thread that serves a connection. */
   interface SocketTask {
     void run(Socket socket) throws Exception;
   }
@@ -23,7 +23,8 @@
               try {
                 task.run();
               } catch (Exception e) {
-                Thread.currentThread().interrupt(); // the peer has gone, or the run is over
+                // Expected: the peer has closed its connection, or the run is over.
+                Thread.currentThread().interrupt();
               }
             });
     thread.setDaemon(true);
--- a/lab/src/test/java/wheattrack/lab/soak/SoakTest.java
+++ b/lab/src/test/java/wheattrack/lab/soak/SoakTest.java
@@ -12,38 +12,39 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Some seeds of the soak: shutdowns and upgrades with and without a crowd, judged by the operators'
- * rules.
+ * Soak runs of some seeds: shutdowns and upgrades with and without a crowd of idle clients,
+ * compared with the operators' rules.
  *
- * <p>With the proxy of before December 2026, whose channels had a thread of their own, most of
- * these seeds fail: requests beside half heads are late, and the process is alive when it is
- * killed, as the JVM waits up to 0.3 s for a thread in a system call before it exits.
+ * <p>Most of these seeds fail if each channel of the proxy has a thread of its own: requests beside
+ * incomplete heads are late, and the process is alive when it is killed, as the JVM before its exit
+ * waits up to 0.3 s for a thread in a system call.
  */
 class SoakTest {
   private static final Path HOME = Path.of("..");
   private static final Path JAR = HOME.resolve("proxy/target/wheattrack.jar");
 
-  /** Among them upgrades, a silent crowd, and backends that hang and drain. */
+  /** The seeds cover upgrades, a silent crowd, and backends that hang or drain. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 6, 9, 10, 11, 12})
   void noRuleIsBroken(long seed) throws Exception {
-    assertKeepsTheRules(seed);
+    assertNoViolations(seed);
   }
 
   /**
-   * Half heads, more than there are places, in three of these seeds during an upgrade, which halves
-   * the places. Seen beside a busy machine: seeds 3 and 41, one late answer each (a request that
-   * has waited in the accept queue is timed from when it is read); seed 122, a whole request that a
-   * client sent after "Connection: close" and before the end of the stream, read and not answered.
+   * More clients send an incomplete head than the proxy's connection limit allows; three of these
+   * seeds upgrade, which halves the limit of each process. Seen on a busy machine: one late answer
+   * each with seeds 3 and 41, as the proxy times a request that has waited in the accept queue only
+   * from when it reads it; with seed 122, a complete request that was read and not answered, sent
+   * by a client after it had received "Connection: close" and before the end of the stream.
    */
   @Tag("known-red")
   @ParameterizedTest
   @ValueSource(longs = {3, 5, 7, 41, 122})
   void noRuleIsBrokenBesideHalfHeads(long seed) throws Exception {
-    assertKeepsTheRules(seed);
+    assertNoViolations(seed);
   }
 
-  private static void assertKeepsTheRules(long seed) throws Exception {
+  private static void assertNoViolations(long seed) throws Exception {
     SoakPlan plan = SoakPlan.draw(seed);
     SoakCounts counts = new SoakRun(plan, HOME, JAR).play();
     boolean hasCrowd = plan.crowd() != SoakPlan.Crowd.NONE;
@@ -61,7 +62,10 @@
     assertNotEquals(SoakPlan.draw(3).terminateAt(), SoakPlan.draw(4).terminateAt());
   }
 
-  /** What the pages forbid is a violation, and what they allow beside a crowd is one without it. */
+  /**
+   * The operators' pages forbid to close a connection with its first request unread, except beside
+   * a crowd.
+   */
   @Test
   void violationsAreWhatThePagesForbid() {
     SoakCounts counts = new SoakCounts();
