--- a/lab/src/main/java/wheattrack/lab/BenchCommand.java
+++ b/lab/src/main/java/wheattrack/lab/BenchCommand.java
@@ -18,11 +18,11 @@
 import wheattrack.lab.virtual.VirtualRun;
 
 /**
- * What the lab costs and achieves on this machine: runs on the virtual clock by size, and runs on
- * sockets by rate.
+ * The lab's benchmark of itself on this machine: the cost of virtual runs by size of the fleet, and
+ * throughput and latency of runs on sockets by request rate.
  */
 final class BenchCommand {
-  /** Size of a virtual fleet. */
+  /** Number of proxies and backends of a virtual run. */
   private record FleetSize(int proxies, int backends) {}
 
   private static final List<FleetSize> SIZES =
@@ -36,7 +36,7 @@
           new FleetSize(300, 1000),
           new FleetSize(1000, 1000));
 
-  /** Requests a second on sockets. */
+  /** Request rates of the runs on sockets, per second. */
   private static final int[] RATES = {1000, 4000, 8000};
 
   private static final SocketRun.ProxyOptions DIRECT =
@@ -44,20 +44,24 @@
   private static final SocketRun.ProxyOptions ONE_CORE =
       new SocketRun.ProxyOptions(List.of(), "0", false);
 
+  /** Shift from bytes to mebibytes. */
+  private static final int MEBIBYTE_SHIFT = 20;
+
   private static final double NANOS_PER_SECOND = 1e9;
   private static final double MICROS_PER_SECOND = 1e6;
 
   private BenchCommand() {}
 
-  /** Measures and prints all; takes minutes. */
+  /** Runs all measurements and prints their results; takes minutes. */
   static ExitCode run(ScenarioRunner.RunOptions options) throws IOException {
-    System.out.println("virtual: 2,300 reqs a second for 10 s, one thread");
+    System.out.println("virtual: 2,300 requests per second for 10 s, on one thread");
     System.out.println("proxies servers  wall s  µs a req  steps a req  peak MB  service");
     for (FleetSize size : SIZES) {
       measureVirtual(size, options.seed());
     }
     System.out.println(
-        "sockets: light reqs of 1 ms at 12 servers, 6 s a rate; ms from intended send");
+        "sockets: light requests of 1 ms at 12 servers, 6 s per rate; latencies in ms from the"
+            + " intended send time");
     System.out.println("                    rate   done/s  late p99      p50      p99    p99.9");
     measureSockets("(warming up)", 3, SocketRun.ProxyOptions.DEFAULT, 1000, options);
     for (int rate : RATES) {
@@ -65,7 +69,7 @@
       measureSockets("1 proxy, 1 core", 1, ONE_CORE, rate, options);
       measureSockets("3 proxies", 3, SocketRun.ProxyOptions.DEFAULT, rate, options);
     }
-    return ExitCode.GOOD;
+    return ExitCode.SUCCESS;
   }
 
   private static void measureVirtual(FleetSize size, long seed) throws IOException {
@@ -96,7 +100,7 @@
         seconds,
         seconds * MICROS_PER_SECOND / requests,
         run.steps() / requests,
-        peakHeapBytes(pools) >> 20,
+        peakHeapBytes(pools) >> MEBIBYTE_SHIFT,
         verdict.metric(Metric.SERVICE));
   }
 
@@ -130,7 +134,7 @@
         name,
         rate,
         verdict.metric(Metric.DONE) / Scenario.toSeconds(scenario.duration()),
-        ScenarioRunner.latenessMillis(result.quality(), 99),
+        ScenarioRunner.latenessMillis(result.measurements(), 99),
         verdict.metric(Metric.P50),
         verdict.metric(Metric.P99),
         verdict.metric(Metric.P999));
--- a/lab/src/main/java/wheattrack/lab/CompareCommand.java
+++ b/lab/src/main/java/wheattrack/lab/CompareCommand.java
@@ -27,10 +27,11 @@
 import wheattrack.lab.scenario.ScenarioReader;
 
 /**
- * Compares two sides over the same seeds and a grid of settings, on the virtual clock: pair by
- * pair, with a bootstrap interval for the mean difference.
+ * Compares two policies or builds on the virtual clock, over the same seeds and a grid of settings.
+ * The runs of a seed form a pair; the mean difference has a bootstrap interval.
  */
 final class CompareCommand {
+  private static final int DEFAULT_SEEDS = 20;
   private static final int MAX_SEEDS = 10_000;
 
   /** The metrics that are printed, in addition to those of the scenario's windows. */
@@ -55,23 +56,25 @@
 
   private CompareCommand(Path scenario, CommandLine line) {
     this.scenario = scenario;
-    seeds = (int) LabOptions.wholeNumber(line, "seeds", 20);
+    seeds = (int) LabOptions.wholeNumber(line, "seeds", DEFAULT_SEEDS);
     if (seeds < 1 || seeds > MAX_SEEDS) {
-      throw new InvalidConfigurationException("--seeds", "not from 1 to 10000: " + seeds);
+      throw new InvalidConfigurationException(
+          "--seeds", "expected a number from 1 to " + MAX_SEEDS + ", got " + seeds);
     }
     base = ComparisonSide.of(line.getOptionValue("base", "random"));
     candidate = ComparisonSide.of(line.getOptionValue("cand", "rules"));
     outputDirectory = LabOptions.outputDirectory(line);
   }
 
-  /** Compares at each point of the grid and prints the differences. */
+  /** Compares the two sides at each point of the grid and prints the differences. */
   static ExitCode run(Path scenario, CommandLine line) throws IOException {
     CompareCommand command = new CompareCommand(scenario, line);
     List<Map<String, String>> grid = grid(LabOptions.settings(line, "KEY=VALUE,VALUE"));
     for (Map<String, String> point : grid) {
       if (!ScenarioReader.read(scenario, point).isVirtual()) {
         throw new InvalidConfigurationException(
-            "clock", "only scenarios on the virtual clock are compared");
+            "clock",
+            "expected a scenario on the virtual clock, got " + scenario + " on the real clock");
       }
     }
     int threads = Math.max(1, Runtime.getRuntime().availableProcessors() / 2);
@@ -83,10 +86,10 @@
     } finally {
       pool.shutdownNow();
     }
-    return ExitCode.GOOD;
+    return ExitCode.SUCCESS;
   }
 
-  /** Every choice of one value for each key, of settings whose values are divided by commas. */
+  /** All combinations of one value per key; the values of a setting are separated by commas. */
   private static List<Map<String, String>> grid(List<LabOptions.Setting> settings) {
     List<Map<String, String>> points = List.of(Map.of());
     for (LabOptions.Setting setting : settings) {
@@ -130,7 +133,7 @@
     return new HtmlReport.Run(side.name(), side.judge(scenario, point, 1));
   }
 
-  /** Waits for all runs; throws IOException if one of them could not be played. */
+  /** Waits for all runs; throws IOException if one of them fails. */
   private static Map<String, PairedDifference> differences(
       List<Future<Map<String, Double>>> baseRuns, List<Future<Map<String, Double>>> candidateRuns)
       throws IOException {
@@ -143,7 +146,7 @@
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IOException("interrupted", e);
+      throw new IOException("interrupted while waiting for the compared runs", e);
     } catch (ExecutionException e) {
       throw new IOException(e.getCause().getMessage(), e.getCause());
     }
@@ -186,7 +189,7 @@
         });
   }
 
-  /** Appends a line for each metric, so that one file holds all points of the grid. */
+  /** Appends a JSON line for each metric, so that one file holds all points of the grid. */
   private void writeLines(Map<String, String> point, Map<String, PairedDifference> differences)
       throws IOException {
     Path file = outputDirectory.resolve("compare.jsonl");
--- a/lab/src/main/java/wheattrack/lab/ComparisonSide.java
+++ b/lab/src/main/java/wheattrack/lab/ComparisonSide.java
@@ -17,19 +17,22 @@
 import wheattrack.lab.scenario.ScenarioReader;
 import wheattrack.lab.virtual.Policies;
 
-/** One side of a comparison, which plays a scenario on the virtual clock. Safe for any thread. */
+/**
+ * One side of a comparison: decisions with which a scenario is played on the virtual clock.
+ * Thread-safe.
+ */
 sealed interface ComparisonSide {
-  /** The prefix of a side that is the jar of another build. */
+  /** Prefix of the name of a side that is the jar of another build. */
   String JAR_PREFIX = "jar:";
 
-  /** The side as given on the command line. */
+  /** The side's name as given on the command line. */
   String name();
 
-  /** The metrics of a run by name; throws IOException if it could not be played. */
+  /** Plays a run and returns its metrics by name; throws IOException if the run fails. */
   Map<String, Double> play(Path scenario, Map<String, String> settings, int seed)
       throws IOException;
 
-  /** Reads a side; throws InvalidConfigurationException if there is no such jar or policy. */
+  /** The side of this name; throws InvalidConfigurationException without such a jar or policy. */
   static ComparisonSide of(String name) {
     if (name.startsWith(JAR_PREFIX)) {
       Path jar = Path.of(name.substring(JAR_PREFIX.length()));
@@ -40,7 +43,8 @@
       return new OwnPolicy(name, LabOptions.policy(name));
     }
     throw new InvalidConfigurationException(
-        name, "no such jar, and no policy of " + Policies.names());
+        name,
+        "expected " + JAR_PREFIX + "FILE with an existing file, or one of " + Policies.names());
   }
 
   /** A policy of this build. */
@@ -50,26 +54,31 @@
       return judge(scenario, settings, seed).metrics();
     }
 
-    /** The complete verdict of a run. */
+    /** Plays a run and returns its complete verdict. */
     Verdict judge(Path scenario, Map<String, String> settings, int seed) {
       return ScenarioRunner.judgeVirtual(ScenarioReader.read(scenario, settings), seed, policy);
     }
   }
 
   /**
-   * Another build's decisions: its jar stands before this build's on the class path of a process of
-   * its own.
+   * The decisions of another build, played in a process of its own: its jar precedes this build's
+   * classes on the class path.
    */
   record OtherBuild(String name, Path jar) implements ComparisonSide {
-    private static final String RESULT = "RESULT ";
+    private static final String RESULT_PREFIX = "RESULT ";
 
     @Override
     public Map<String, Double> play(Path scenario, Map<String, String> settings, int seed)
         throws IOException {
       String line = lastLine(command(scenario, settings, seed));
-      if (!line.startsWith(RESULT)) {
+      if (!line.startsWith(RESULT_PREFIX)) {
         throw new UncheckedIOException(
-            new IOException(jar + " did not play seed " + seed + ": " + line));
+            new IOException(
+                jar
+                    + ", seed "
+                    + seed
+                    + ": expected a line RESULT at the end of the output, got: "
+                    + line));
       }
       return metrics(line);
     }
@@ -87,6 +96,7 @@
       return command;
     }
 
+    /** Runs a command and returns the last line of its output, or an empty string. */
     private static String lastLine(List<String> command) throws IOException {
       Process process = new ProcessBuilder(command).redirectErrorStream(true).start();
       String last = "";
--- a/lab/src/main/java/wheattrack/lab/DemoCommand.java
+++ b/lab/src/main/java/wheattrack/lab/DemoCommand.java
@@ -15,7 +15,8 @@
 import wheattrack.lab.sockets.SocketRun;
 
 /**
- * The demo: two proxies, six servers and load on loopback; a server is killed, and it is judged.
+ * The demo: two proxies, six backends and load on loopback. One backend is killed and restarted;
+ * the referee judges the run.
  */
 final class DemoCommand {
   private static final int BAR_WIDTH = 40;
@@ -84,8 +85,8 @@
   private static void printProxy(int index, ProxyTotals totals) {
     System.out.printf(
         Locale.ROOT,
-        "proxy %d took %d reqs: %d done, %d denied, %d aborted; sent to "
-            + "servers (by place) %s%n",
+        "proxy %d received %d reqs: %d done, %d denied, %d aborted; attempts "
+            + "at each server (by index) %s%n",
         index,
         totals.accepted(),
         totals.answers(Answer.DONE),
--- a/lab/src/main/java/wheattrack/lab/LabMain.java
+++ b/lab/src/main/java/wheattrack/lab/LabMain.java
@@ -12,36 +12,42 @@
 import wheattrack.lab.scenario.ScenarioReader;
 import wheattrack.lab.soak.SoakCommand;
 
-/** The lab's command line; {@link ExitCode} names what it ends with. */
+/** The lab's command line; {@link ExitCode} lists the exit statuses of the process. */
 public final class LabMain {
   private static final String USAGE =
       """
 usage: ./wheattrack lab COMMAND
-  list                        the scenarios that ship, a line each
-  run NAME_OR_FILE            plays one; its last line is RESULT
-      --seed N                another seed (1)
-      --out DIR               leaves ledgers, JSON lines and an HTML report there
+  list                        lists the scenarios that ship, one per line
+  run NAME_OR_FILE            plays a scenario; the last line of the output is RESULT
+      --seed N                seed of all random draws (default 1)
+      --out DIR               writes ledgers, JSON lines and an HTML report to this directory
       --set KEY=VALUE         sets a key of the scenario, as in --set load.rate=200
-      --policy P              who decides on the virtual clock: rules, random, round-robin, least-out,
+      --policy P              the policy on the virtual clock: rules, random, round-robin, least-out,
                               two-choices
-      --jar FILE              the proxies' program on the real clock
-  check NAME_OR_FILE          reads one and says whether it can be played
-  compare NAME_OR_FILE        plays two sides over the same seeds and says how they differ
-      --seeds N               seeds from 1 on (20)
-      --base SIDE             a policy, or jar:FILE for another build's decisions (random)
-      --cand SIDE             the other side (rules)
-      --set KEY=A,B,...       plays each value of a key of the scenario; may stand several times
-      --out DIR               leaves JSON lines and an HTML report of the first seed there
-  bench                       what the virtual world and the sockets can do on this machine
-  soak                        shutdowns, signals and crowds on one proxy, by seeds
-      --seeds A-B             the seeds to play, first and last (1-8)
-      --jar FILE              the proxy's program
-  scale                       what control costs by size: hollow proxies beside real ones
+      --jar FILE              the proxies' jar on the real clock
+  check NAME_OR_FILE          reads a scenario and reports whether it is valid
+  compare NAME_OR_FILE        plays two sides over the same seeds and prints how they differ
+      --seeds N               number of seeds, from 1 on (default 20)
+      --base SIDE             a policy, or jar:FILE for another build's decisions (default random)
+      --cand SIDE             the side that is compared with it (default rules)
+      --set KEY=A,B,...       plays each value of a key of the scenario; may be repeated
+      --out DIR               writes JSON lines and an HTML report of the first seed to this directory
+  bench                       measures virtual runs and runs on sockets on this machine
+  soak                        plays shutdowns, signals and crowds of idle clients on one proxy
+      --seeds A-B             first and last of the seeds to play (default 1-8)
+      --jar FILE              the proxy's jar
+  scale                       measures the cost of the control work by size, with control-only
+                              proxies beside complete ones
       --axis NAME             one of backends, changes, watchers, rule-sets, tenants, scope,
                               scope-watchers, outage, scope-outage, restart
-      --points A,B,...        its points (whole numbers)
-      --memory-mb N           what all processes may hold (half of the machine's, 12288 at most)
-exit codes: 0 good, 1 fell short, 2 bad input, 3 the machine was too busy or a ledger is torn""";
+      --points A,B,...        the points of the axis (whole numbers)
+      --memory-mb N           memory limit of all processes together (default half of the machine's,
+                              12288 at most)
+exit codes: 0 success, 1 an expectation or rule was not met, 2 bad input,
+            3 no result: the machine was too busy, a limit was exceeded, or a ledger is corrupt""";
+
+  /** Shift from mebibytes to bytes. */
+  private static final int MEBIBYTE_SHIFT = 20;
 
   private LabMain() {}
 
@@ -56,7 +62,7 @@
       List<String> arguments = line.getArgList();
       if (line.hasOption("help") || arguments.equals(List.of("help"))) {
         System.out.println(USAGE);
-        return ExitCode.GOOD;
+        return ExitCode.SUCCESS;
       }
       return switch (arguments.size()) {
         case 1 -> runCommand(arguments.get(0), line);
@@ -66,7 +72,7 @@
     } catch (ParseException | InvalidConfigurationException e) {
       return badInput("wheattrack lab: " + e.getMessage());
     } catch (InvalidLedgerException | ResourceLimitException e) {
-      System.err.println("wheattrack lab: void: " + e.getMessage());
+      System.err.println("wheattrack lab: no result: " + e.getMessage());
       return ExitCode.INCONCLUSIVE;
     } catch (IOException e) {
       return badInput("wheattrack lab: " + e);
@@ -94,7 +100,7 @@
     return switch (command) {
       case "check" -> {
         System.out.println("good: " + scenario.name());
-        yield ExitCode.GOOD;
+        yield ExitCode.SUCCESS;
       }
       case "run" -> ScenarioRunner.run(scenario, LabOptions.runOptions(line));
       default -> badInput(USAGE);
@@ -107,25 +113,26 @@
       String clock = scenario.isVirtual() ? "virtual" : "real";
       System.out.printf("%-24s %-7s %s%n", name, clock, scenario.description());
     }
-    return ExitCode.GOOD;
+    return ExitCode.SUCCESS;
   }
 
   private static ExitCode soak(CommandLine line) throws IOException {
     LabOptions.SeedRange seeds = LabOptions.seedRange(line);
     try {
-      boolean isKept =
+      boolean areRulesKept =
           SoakCommand.run(
               ScenarioCatalog.home(), LabOptions.proxyJar(line), seeds.first(), seeds.last());
-      return isKept ? ExitCode.GOOD : ExitCode.FELL_SHORT;
+      return areRulesKept ? ExitCode.SUCCESS : ExitCode.EXPECTATION_NOT_MET;
     } catch (InterruptedException e) {
-      throw new IOException("interrupted", e);
+      throw new IOException("interrupted while a soak was running", e);
     }
   }
 
   private static ExitCode scale(CommandLine line) throws IOException {
-    long memoryBytes = LabOptions.wholeNumber(line, "memory-mb", 0) << 20;
+    long memoryBytes = LabOptions.wholeNumber(line, "memory-mb", 0) << MEBIBYTE_SHIFT;
     if (memoryBytes < 0) {
-      throw new InvalidConfigurationException("--memory-mb", "negative");
+      throw new InvalidConfigurationException(
+          "--memory-mb", "expected a number not below 0, got " + line.getOptionValue("memory-mb"));
     }
     ScaleCommand.ScaleOptions options =
         new ScaleCommand.ScaleOptions(
@@ -138,7 +145,7 @@
             false,
             true);
     ScaleCommand.run(options, System.out);
-    return ExitCode.GOOD;
+    return ExitCode.SUCCESS;
   }
 
   private static ExitCode badInput(String message) {
--- a/lab/src/main/java/wheattrack/lab/LabOptions.java
+++ b/lab/src/main/java/wheattrack/lab/LabOptions.java
@@ -15,16 +15,16 @@
 import wheattrack.lab.virtual.Policies;
 
 /**
- * The options of the lab's command line. What reads one throws InvalidConfigurationException, with
- * the option's name, if its value is not valid.
+ * The options of the lab's command line. Methods that read an option throw
+ * InvalidConfigurationException, with the option's name, if its value is not valid.
  */
 final class LabOptions {
-  /** A key of a scenario that the command line sets, with its value as given there. */
+  /** A key of a scenario that the command line sets, and its value as given there. */
   record Setting(String key, String value) {
     private static Setting parse(String text, String form) {
       int equalsSign = text.indexOf('=');
       if (equalsSign <= 0) {
-        throw new InvalidConfigurationException("--set", "not " + form + ": " + text);
+        throw new InvalidConfigurationException("--set", "expected " + form + ", got " + text);
       }
       return new Setting(text.substring(0, equalsSign), text.substring(equalsSign + 1));
     }
@@ -53,7 +53,7 @@
     return new DefaultParser().parse(options, args);
   }
 
-  /** How to play a scenario. */
+  /** The options for playing a scenario. */
   static ScenarioRunner.RunOptions runOptions(CommandLine line) {
     String policy = line.getOptionValue("policy", Policies.names().get(0));
     if (!Policies.names().contains(policy)) {
@@ -65,13 +65,13 @@
         seed, outputDirectory(line), policy(policy), proxyJar(line));
   }
 
-  /** The proxies' program: the one named, or the repository's own. */
+  /** The proxies' jar: the one of --jar, or the one built in the repository. */
   static Path proxyJar(CommandLine line) {
     Path proxyJar = path(line, "jar");
     return proxyJar == null ? ScenarioCatalog.proxyJar() : proxyJar;
   }
 
-  /** The seeds of a soak, first and last; both may be the same. */
+  /** The first and the last seed of a soak; both may be the same. */
   record SeedRange(long first, long last) {}
 
   /** The seeds to play, as in {@code --seeds 1-8}. */
@@ -79,13 +79,15 @@
     String text = line.getOptionValue("seeds", DEFAULT_SOAK_SEEDS);
     Matcher matcher = SEED_RANGE.matcher(text);
     if (!matcher.matches()) {
-      throw new InvalidConfigurationException("--seeds", "not of the form A-B: " + text);
+      throw new InvalidConfigurationException(
+          "--seeds", "expected A-B with numbers of at most 9 digits, got " + text);
     }
     SeedRange range =
         new SeedRange(
             Long.parseLong(matcher.group("first")), Long.parseLong(matcher.group("last")));
     if (range.first > range.last) {
-      throw new InvalidConfigurationException("--seeds", "the last is before the first: " + text);
+      throw new InvalidConfigurationException(
+          "--seeds", "expected a last seed not below the first, got " + text);
     }
     return range;
   }
@@ -94,7 +96,7 @@
     return wholeNumber(line, "seed", 1);
   }
 
-  /** Where files are to be left, or null. */
+  /** The directory of --out, or null without that option. */
   static Path outputDirectory(CommandLine line) {
     return path(line, "out");
   }
@@ -103,12 +105,12 @@
     return line.hasOption(option) ? Path.of(line.getOptionValue(option)) : null;
   }
 
-  /** The policy of this name on the command line. */
+  /** The policy of this name, which must be one of {@link Policies#names}. */
   static Policies.Kind policy(String name) {
     return Policies.Kind.values()[Policies.names().indexOf(name)];
   }
 
-  /** The keys of the scenario that are set, each with its one value. */
+  /** The values of --set by the scenario's key. */
   static Map<String, String> settings(CommandLine line) {
     Map<String, String> settings = new LinkedHashMap<>();
     for (Setting setting : settings(line, "KEY=VALUE")) {
@@ -117,7 +119,11 @@
     return settings;
   }
 
-  /** The keys of the scenario that are set, in order; form: what an error says is expected. */
+  /**
+   * The settings of --set in the order of the command line.
+   *
+   * @param form the expected form of a setting, for the error message
+   */
   static List<Setting> settings(CommandLine line, String form) {
     String[] texts = line.hasOption("set") ? line.getOptionValues("set") : new String[0];
     return Arrays.stream(texts).map(text -> Setting.parse(text, form)).toList();
@@ -128,7 +134,8 @@
     try {
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
-      throw new InvalidConfigurationException("--" + option, "not a whole number: " + text);
+      throw new InvalidConfigurationException(
+          "--" + option, "expected a whole number, got " + text);
     }
   }
 }
--- a/lab/src/main/java/wheattrack/lab/PairedDifference.java
+++ b/lab/src/main/java/wheattrack/lab/PairedDifference.java
@@ -10,16 +10,19 @@
  * @param candidate mean of the candidate side
  * @param mean mean of the differences of the pairs
  * @param low lower end of the bootstrap interval that holds 95% of the resampled means
- * @param high its upper end
+ * @param high upper end of that interval
  */
 record PairedDifference(double base, double candidate, double mean, double low, double high) {
   private static final int RESAMPLES = 4000;
   private static final long RESAMPLING_SEED = 7;
 
-  /** The part of the resampled means that lies beyond each end of the interval. */
-  private static final double TAIL = 0.025;
+  /** The fraction of the resampled means beyond each end of the interval. */
+  private static final double TAIL_FRACTION = 0.025;
 
-  /** Compares values pair by pair; the resampling is the same each time. */
+  /**
+   * Compares values pair by pair. Resamples with a fixed seed, so that equal values give equal
+   * results.
+   */
   static PairedDifference of(double[] base, double[] candidate) {
     int count = base.length;
     double[] differences = new double[count];
@@ -31,8 +34,8 @@
         mean(base),
         mean(candidate),
         mean(differences),
-        means[(int) (RESAMPLES * TAIL)],
-        means[(int) (RESAMPLES * (1 - TAIL))]);
+        means[(int) (RESAMPLES * TAIL_FRACTION)],
+        means[(int) (RESAMPLES * (1 - TAIL_FRACTION))]);
   }
 
   private static double[] resampledMeans(double[] differences) {
@@ -53,7 +56,7 @@
     return Arrays.stream(values).average().orElse(0);
   }
 
-  /** Whether the interval does not hold zero. */
+  /** Whether the interval does not contain zero. */
   boolean isClear() {
     return low > 0 || high < 0;
   }
--- a/lab/src/main/java/wheattrack/lab/ScenarioRunner.java
+++ b/lab/src/main/java/wheattrack/lab/ScenarioRunner.java
@@ -18,27 +18,35 @@
 import wheattrack.lab.virtual.Policies;
 import wheattrack.lab.virtual.VirtualRun;
 
-/** Plays one scenario, has it judged, and reports the verdict. */
+/** Plays a scenario, lets the referee judge it, and reports the verdict. */
 final class ScenarioRunner {
   /**
    * How to play a scenario.
    *
-   * @param outputDirectory where ledgers and reports are left, or null
+   * @param seed seed of all random draws
+   * @param outputDirectory where ledgers and reports are written, or null for none
    * @param policy the policy that is used on the virtual clock
-   * @param proxyJar the proxies' program on the real clock; may be null on the virtual one
+   * @param proxyJar the proxies' jar on the real clock; may be null on the virtual clock
    */
   record RunOptions(long seed, Path outputDirectory, Policies.Kind policy, Path proxyJar) {}
 
-  /** The result of a run on sockets: the verdict, and how punctual the lab itself was. */
-  record SocketResult(Verdict verdict, SocketRun.LoadMeasurements quality) {
+  /**
+   * The result of a run on sockets.
+   *
+   * @param verdict the referee's verdict
+   * @param measurements how late the lab's own sends were, and other measurements of the load
+   */
+  record SocketResult(Verdict verdict, SocketRun.LoadMeasurements measurements) {
     ExitCode exitCode() {
-      return quality.isTooLate() ? ExitCode.INCONCLUSIVE : ScenarioRunner.exitCode(verdict);
+      return measurements.isTooLate() ? ExitCode.INCONCLUSIVE : ScenarioRunner.exitCode(verdict);
     }
   }
 
+  private static final double MICROS_PER_MILLI = 1000.0;
+
   private ScenarioRunner() {}
 
-  /** Plays it on the clock it names and prints the verdict. */
+  /** Plays a scenario on the clock that it names and prints the verdict. */
   static ExitCode run(Scenario scenario, RunOptions options) throws IOException {
     if (options.outputDirectory != null) {
       Files.createDirectories(options.outputDirectory);
@@ -54,7 +62,7 @@
   }
 
   private static ExitCode exitCode(Verdict verdict) {
-    return verdict.isGood() ? ExitCode.GOOD : ExitCode.FELL_SHORT;
+    return verdict.isGood() ? ExitCode.SUCCESS : ExitCode.EXPECTATION_NOT_MET;
   }
 
   private static Verdict runVirtual(Scenario scenario, RunOptions options) throws IOException {
@@ -69,7 +77,7 @@
     return judge(scenario, ledger);
   }
 
-  /** Plays on the virtual clock and judges at once, without a ledger on disk. */
+  /** Plays on the virtual clock and judges during the run, without a ledger on disk. */
   static Verdict judgeVirtual(Scenario scenario, long seed, Policies.Kind policy) {
     Referee referee = new Referee(scenario);
     new VirtualRun(scenario, seed, policy, referee).run();
@@ -82,7 +90,7 @@
     return referee.verdict();
   }
 
-  /** Plays on sockets, with a ledger on disk, and prints how punctual the lab itself was. */
+  /** Plays on sockets, with a ledger on disk, and prints how late the lab's own sends were. */
   static SocketResult runOnSockets(
       Scenario scenario, RunOptions options, SocketRun.ProxyOptions proxyOptions)
       throws IOException {
@@ -92,21 +100,23 @@
             : options.outputDirectory.resolve("sockets.ledger");
     Files.deleteIfExists(ledger);
     try {
-      SocketRun.LoadMeasurements quality = writeLedger(scenario, options, proxyOptions, ledger);
+      SocketRun.LoadMeasurements measurements =
+          writeLedger(scenario, options, proxyOptions, ledger);
       Verdict verdict = judge(scenario, ledger);
       System.out.printf(
           Locale.ROOT,
-          "the lab: late by %.2f ms at p50, %.2f at p99, %.2f at most; %d "
-              + "connections of clients, %d reqs sent once more%n",
-          latenessMillis(quality, 50),
-          latenessMillis(quality, 99),
-          latenessMillis(quality, 100),
-          quality.openedConnections(),
-          quality.resentRequests());
-      if (quality.isTooLate()) {
-        System.err.println("wheattrack lab: the machine was too busy; the run says nothing");
+          "the lab: sends late by %.2f ms at p50, %.2f at p99, %.2f at most; %d "
+              + "connections of clients, %d requests sent again%n",
+          latenessMillis(measurements, 50),
+          latenessMillis(measurements, 99),
+          latenessMillis(measurements, 100),
+          measurements.openedConnections(),
+          measurements.resentRequests());
+      if (measurements.isTooLate()) {
+        System.err.println(
+            "wheattrack lab: no result: the machine was too busy to send the requests on time");
       }
-      return new SocketResult(verdict, quality);
+      return new SocketResult(verdict, measurements);
     } finally {
       if (options.outputDirectory == null) {
         Files.deleteIfExists(ledger);
@@ -120,17 +130,17 @@
     try (LedgerWriter writer = new LedgerWriter(ledger, false);
         SocketRun run =
             new SocketRun(scenario, options.seed, options.proxyJar, proxyOptions, writer)) {
-      SocketRun.LoadMeasurements quality = run.run();
+      SocketRun.LoadMeasurements measurements = run.run();
       if (options.outputDirectory != null) {
         run.copyLogs(options.outputDirectory);
       }
-      return quality;
+      return measurements;
     }
   }
 
-  /** By how many milliseconds the lab's own sends were late, at this percentile. */
-  static double latenessMillis(SocketRun.LoadMeasurements quality, double percentile) {
-    return quality.latenessMicros().getValueAtPercentile(percentile) / 1000.0;
+  /** The lateness of the lab's own sends at this percentile, in milliseconds. */
+  static double latenessMillis(SocketRun.LoadMeasurements measurements, double percentile) {
+    return measurements.latenessMicros().getValueAtPercentile(percentile) / MICROS_PER_MILLI;
   }
 
   private static void report(Verdict verdict, RunOptions options) throws IOException {
@@ -145,7 +155,7 @@
     for (Expectation expectation : verdict.unmetExpectations()) {
       Double value = verdict.metrics().get(expectation.metric());
       System.out.println(
-          "fell short: "
+          "expectation not met: "
               + expectation.metric()
               + " "
               + (value == null ? "unknown" : Verdict.format(value))
--- a/lab/src/main/java/wheattrack/lab/package-info.java
+++ b/lab/src/main/java/wheattrack/lab/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The commands of the lab: they play scenarios, compare policies and measure what the lab and the
- * control plane cost.
+ * The commands of the lab, which play scenarios, compare policies, and measure the cost of the lab
+ * and of the control work.
  */
 package wheattrack.lab;
--- a/lab/src/test/java/wheattrack/docs/ArchitecturePackagesTest.java
+++ b/lab/src/test/java/wheattrack/docs/ArchitecturePackagesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The package tables of the architecture page name the packages that there are, and no others. */
+/** The package tables of the architecture page name exactly the packages that exist. */
 class ArchitecturePackagesTest {
   private static final String ROOT_PACKAGE_CELL = "(root)";
   private static final String PACKAGE_INFO = "package-info.java";
@@ -35,16 +35,19 @@
     assertEquals(Set.of(), unknown, "packages on the page that " + module + " does not have");
   }
 
-  private Set<String> packages(String module, Predicate<Path> counts) {
+  private Set<String> packages(String module, Predicate<Path> filter) {
     Path sourceRoot = repository.mainSourceRoot(module);
     return repository.mainSources(module).stream()
-        .filter(counts)
+        .filter(filter)
         .map(source -> sourceRoot.relativize(source.getParent()).toString())
         .map(directory -> directory.replace('/', '.').replace('\\', '.'))
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  /** The first cells of the tables headed "package" under the module's heading, as full names. */
+  /**
+   * The packages, by full name, in the first column of the tables that stand under the module's
+   * heading and have "package" as the first column.
+   */
   private Set<String> namedPackages(String module) {
     Set<String> names = new TreeSet<>();
     for (Page.TableRow row : Page.read(repository, "docs/architecture.md").tableRows()) {
--- a/lab/src/test/java/wheattrack/docs/KnownRedTestsTest.java
+++ b/lab/src/test/java/wheattrack/docs/KnownRedTestsTest.java
@@ -12,11 +12,11 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** KNOWN-RED.txt lists the tests that CI passes over: those tagged known-red, and no others. */
+/** KNOWN-RED.txt lists exactly the tests tagged known-red, which CI does not run. */
 class KnownRedTestsTest {
   private static final String LIST = "KNOWN-RED.txt";
 
-  /** Each entry is one line of at most this many characters. */
+  /** The greatest length of an entry, which is one line, in characters. */
   private static final int MAX_LINE_LENGTH = 400;
 
   /** A line of the list: test, cause and issue. */
@@ -35,7 +35,11 @@
   @Test
   void entriesAreShortAndNameNoTestTwice() {
     List<String> lines = lines();
-    lines.forEach(line -> assertTrue(line.length() <= MAX_LINE_LENGTH, "too long: " + line));
+    lines.forEach(
+        line ->
+            assertTrue(
+                line.length() <= MAX_LINE_LENGTH,
+                "expected at most " + MAX_LINE_LENGTH + " characters, got: " + line));
     assertEquals(lines.size(), listedTests().size(), "a test is listed twice");
   }
 
@@ -53,7 +57,7 @@
 
   private static String testOf(String line) {
     Matcher matcher = LINE.matcher(line);
-    assertTrue(matcher.matches(), "not of the form 'Class.method: cause; issue N': " + line);
+    assertTrue(matcher.matches(), "expected 'Class.method: cause; issue N', got: " + line);
     return matcher.group("test");
   }
 
--- a/lab/src/test/java/wheattrack/docs/Page.java
+++ b/lab/src/test/java/wheattrack/docs/Page.java
@@ -11,16 +11,17 @@
   private static final Pattern FENCED_BLOCK = Pattern.compile("(?ms)^```.*?^```\\s*$");
 
   /**
-   * Ends within its paragraph, so that a stray backtick does not turn the rest of the page around.
+   * A code span ends within its paragraph, so that an unpaired backtick does not swap code and text
+   * in the rest of the page.
    */
   private static final Pattern CODE_SPAN = Pattern.compile("`((?:(?!\\n\\s*\\n)[^`])+)`");
 
   private static final Pattern HEADING = Pattern.compile("(#+) (.*)");
   private static final Pattern UNESCAPED_BAR = Pattern.compile("(?<!\\\\)\\|");
 
-  /** One row below a table's header, with the header and the headings that it stands under. */
+  /** One row of a table, with the table's header and the headings above the table. */
   record TableRow(List<String> headings, List<String> header, List<String> cells) {
-    /** The cell under the last column, which may be empty. */
+    /** The cell in the last column; empty if the row is shorter than the header. */
     String lastCell() {
       return cells.size() < header.size() ? "" : cells.get(header.size() - 1);
     }
@@ -30,7 +31,7 @@
     return new Page(name, repository.read(name));
   }
 
-  /** All code spans outside fenced blocks; a line break within one counts as a space. */
+  /** All code spans outside fenced blocks, with line breaks replaced by spaces. */
   List<String> codeSpans() {
     return codeSpans(FENCED_BLOCK.matcher(text).replaceAll(""));
   }
@@ -66,7 +67,8 @@
   }
 
   /**
-   * Keeps the headings of higher levels only; a level that the page leaves out is an empty heading.
+   * Replaces the headings of this and lower levels by the new one. A level that the page skips gets
+   * an empty heading.
    */
   private static void enterHeading(List<String> headings, int level, String title) {
     while (headings.size() >= level) {
--- a/lab/src/test/java/wheattrack/docs/PageReferencesTest.java
+++ b/lab/src/test/java/wheattrack/docs/PageReferencesTest.java
@@ -13,20 +13,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the pages about the program as it is now refer to exists: classes, members, test methods and
- * other pages. Pages about the past (results, incidents, change log, roadmap) may name what is
- * gone.
+ * The classes, members, test methods and pages that the pages about the present program refer to
+ * exist. Pages about the past (results, incidents, change log, roadmap) may refer to what no longer
+ * exists.
  */
 class PageReferencesTest {
   private static final String CONCURRENT_EVENTS = "docs/concurrent-events.md";
 
-  /** Pages of docs/ whose subject is the past; incidents have a directory of their own. */
+  /** Pages directly in docs/ that are about the past; incidents have their own directory. */
   private static final Set<String> HISTORY = Set.of("docs/results.md", "docs/ROADMAP.md");
 
-  /** At least two humps; an acronym counts as one: {@code EventLoop}, {@code HttpCodecTest}. */
+  /**
+   * A camel-case name of at least two words, an acronym counted as one: {@code EventLoop}, {@code
+   * HttpCodecTest}.
+   */
   private static final String CAMEL_CASE = "[A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)+";
 
-  /** Where a package or a member stands with it, one hump is enough: {@code core.Lifecycle}. */
+  /** A name that follows a package or precedes a member may be one word: {@code core.Lifecycle}. */
   private static final String CAPITALIZED = "[A-Z][a-z0-9]+(?:[A-Z][a-z0-9]*)*";
 
   private static final String PACKAGE = "(?:[a-z][a-z0-9]*\\.)+";
@@ -63,7 +66,7 @@
     List<String> unknown = new ArrayList<>();
     for (Page page : currentPages()) {
       for (String span : page.codeSpans()) {
-        if (!refersToCode(span)) {
+        if (!isValidReference(span)) {
           unknown.add(page.name() + ": " + span);
         }
       }
@@ -72,7 +75,8 @@
   }
 
   /**
-   * The last column of the tables of concurrent events names test methods, with or without class.
+   * The last column of the tables of concurrent events names test methods, with or without their
+   * classes.
    */
   @Test
   void testMethodsOfConcurrentEventsExist() {
@@ -122,8 +126,8 @@
         .toList();
   }
 
-  /** Whether a code span is no name of a class or member, or is one that the sources declare. */
-  private boolean refersToCode(String span) {
+  /** False if a code span has the form of a class or member name that no source declares. */
+  private boolean isValidReference(String span) {
     for (Pattern form : List.of(TYPE, JAVA_FILE, NESTED_TYPE)) {
       Matcher type = form.matcher(span);
       if (type.matches()) {
--- a/lab/src/test/java/wheattrack/docs/Repository.java
+++ b/lab/src/test/java/wheattrack/docs/Repository.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The checked-out source tree that the tests run in: its modules, Java sources and pages. */
+/** The source tree in which the tests run: its modules, Java sources and pages. */
 final class Repository {
-  /** The Maven modules, in the order in which each may know those before it. */
+  /** The Maven modules; each may depend on those before it. */
   static final List<String> MODULES = List.of("decisions", "proxy", "lab");
 
-  /** A file that only the root directory holds. */
+  /** A file that exists in the root directory only. */
   private static final String LAUNCHER = "wheattrack";
 
   private final Path root;
@@ -33,7 +33,11 @@
       }
       directory = directory.getParent();
     }
-    throw new IllegalStateException("no directory above holds the launcher " + LAUNCHER);
+    throw new IllegalStateException(
+        "expected the launcher "
+            + LAUNCHER
+            + " in the working directory or one above, found none above "
+            + Path.of("").toAbsolutePath());
   }
 
   /** The path of a file named relative to the root. */
@@ -67,7 +71,7 @@
     return sources;
   }
 
-  /** The pages of a directory, relative to the root, not those of its subdirectories. */
+  /** The pages directly in a directory, as paths relative to the root. */
   List<String> pagesIn(String directory) {
     try (Stream<Path> files = Files.list(resolve(directory))) {
       return files
--- a/lab/src/test/java/wheattrack/docs/SourceIndex.java
+++ b/lab/src/test/java/wheattrack/docs/SourceIndex.java
@@ -24,11 +24,16 @@
  * The types that the sources declare and the members of each, read by the compiler's own parser.
  */
 final class SourceIndex {
-  /** A type, nested ones included, as its package and its name in it ({@code Outer.Inner}). */
+  /**
+   * A declared type; the name of a nested type includes the enclosing ones ({@code Outer.Inner}).
+   */
   private record SourceType(
       String packageName, String name, Set<String> members, List<String> supertypes) {
 
-    /** Whether a name from a page, with as much of the package as it gives, is this type's. */
+    /**
+     * Whether a name from a page refers to this type; it may include any trailing part of the
+     * package.
+     */
     boolean isNamed(String pageName) {
       return ("." + packageName + "." + name).endsWith("." + pageName);
     }
@@ -94,7 +99,8 @@
   }
 
   /**
-   * Adds each class of a compilation unit; the parameter is the enclosing class's name and a dot.
+   * Adds each type of a compilation unit. The scanner's parameter is the name of the enclosing type
+   * and a dot, or empty.
    */
   private final class TypeCollector extends TreeScanner<Void, String> {
     private final String packageName;
--- a/lab/src/test/java/wheattrack/lab/LabOptionsTest.java
+++ b/lab/src/test/java/wheattrack/lab/LabOptionsTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import wheattrack.config.InvalidConfigurationException;
 
-/** Options of the lab's command line whose values have a form of their own. */
+/** The seed range of the lab's command line. */
 class LabOptionsTest {
   private static LabOptions.SeedRange seeds(String text) throws Exception {
     return LabOptions.seedRange(LabOptions.parse(new String[] {"soak", "--seeds", text}));
--- a/lab/src/test/java/wheattrack/lab/ScenarioTest.java
+++ b/lab/src/test/java/wheattrack/lab/ScenarioTest.java
@@ -8,7 +8,7 @@
 import wheattrack.config.InvalidConfigurationException;
 import wheattrack.lab.scenario.Fault;
 
-/** Faults of a scenario's text. */
+/** Error messages about invalid scenario files. */
 class ScenarioTest {
   private static void assertFails(String extraText, String message) {
     InvalidConfigurationException e =
@@ -18,7 +18,10 @@
     assertEquals(message, e.getMessage());
   }
 
-  /** Each message is one line that names file, line and key; the first 16 lines are the same. */
+  /**
+   * Each message is one line that names file, line and key. The common text takes the first 16
+   * lines, so that the extra text begins at line 17.
+   */
   @Test
   void messagesNameFileLineAndKey() {
     assertFails("[front]\nnotice = 3\n", "small.toml:18: front.notice: unknown key");
--- a/lab/src/test/java/wheattrack/lab/ScenarioTexts.java
+++ b/lab/src/test/java/wheattrack/lab/ScenarioTexts.java
@@ -3,11 +3,16 @@
 import wheattrack.lab.scenario.Scenario;
 import wheattrack.lab.scenario.ScenarioReader;
 
-/** Small scenarios for tests. */
+/** Builds small scenarios for tests. */
 public final class ScenarioTexts {
   private ScenarioTexts() {}
 
-  /** Three proxies, four backends and one request class, with further sections as TOML. */
+  /**
+   * A scenario with three proxies, four backends and one request class.
+   *
+   * @param effect the effect of the request class
+   * @param extraText further sections, as TOML
+   */
   public static Scenario smallScenario(String effect, String extraText) {
     return ScenarioReader.parse(
         "small.toml",
