--- a/example/ToyServer.java
+++ b/example/ToyServer.java
@@ -9,26 +9,28 @@
 import java.util.concurrent.Executors;
 
 /**
- * What a proxy needs around it to be tried at home: some toy backends and the endpoint list that
- * names them, all on 127.0.0.1. Start it with: java example/ToyServer.java [backends]. Backends
- * listen from port 9001 on, the list at 9000. Stop and start it at will, and watch what the proxy
- * does.
+ * The servers needed to try out a proxy on one machine: a few example backends and a discovery
+ * server with their endpoint list, all on 127.0.0.1. Start it with: java example/ToyServer.java
+ * [backends]. Discovery listens on port 9000, the backends on the ports from 9001 on. It may be
+ * stopped and started at any time to watch how the proxy reacts.
  */
 public final class ToyServer {
   private static final int LIST_PORT = 9000;
   private static final int DEFAULT_BACKENDS = 3;
   private static final int BACKLOG = 64;
 
-  /** Time that a request without a cost hint takes, in milliseconds. */
+  /** How long a request without a cost hint takes. */
   private static final long DEFAULT_WORK_MILLIS = 20;
 
-  /** Pause between two empty lines of a watch, in milliseconds. */
-  private static final long KEEP_ALIVE_MILLIS = 2000;
+  /** Interval of the empty lines that are sent to a watch as heartbeats. */
+  private static final long HEARTBEAT_INTERVAL_MILLIS = 2000;
+
+  private static final long MICROS_PER_MILLI = 1000;
 
   private ToyServer() {}
 
   /**
-   * Starts the backends and the list.
+   * Starts the backends and the discovery server.
    *
    * @param args the number of backends, 3 if absent
    * @throws IOException if a port is taken
@@ -47,9 +49,9 @@
     list.createContext("/v1/endpoints", exchange -> serveWatch(exchange, snapshot));
     System.out.println(
         backendCount
-            + " backends from port "
+            + " backends on the ports from "
             + (LIST_PORT + 1)
-            + " on, their list at "
+            + " on, endpoint list on port "
             + LIST_PORT);
   }
 
@@ -92,17 +94,17 @@
     }
   }
 
-  /** Takes as long as the cost hint says, which is in microseconds. */
+  /** Sleeps for the time of the cost hint, which is in microseconds. */
   private static void work(HttpExchange exchange) {
     String hint = exchange.getRequestHeaders().getFirst("Work-Hint");
     try {
-      Thread.sleep(hint == null ? DEFAULT_WORK_MILLIS : Long.parseLong(hint) / 1000);
+      Thread.sleep(hint == null ? DEFAULT_WORK_MILLIS : Long.parseLong(hint) / MICROS_PER_MILLI);
     } catch (InterruptedException | NumberFormatException e) {
-      Thread.currentThread().interrupt(); // a malformed hint, too, ends without an answer
+      Thread.currentThread().interrupt(); // also after a malformed hint, so that no answer is sent
     }
   }
 
-  /** Sends a snapshot of the list, then empty lines until the proxy closes the connection. */
+  /** Sends a snapshot of the list, then heartbeats until the proxy closes the connection. */
   private static void serveWatch(HttpExchange exchange, String snapshot) throws IOException {
     exchange.sendResponseHeaders(200, 0);
     try (OutputStream output = exchange.getResponseBody()) {
@@ -110,7 +112,7 @@
       while (true) {
         output.write(line.getBytes(StandardCharsets.UTF_8));
         output.flush();
-        Thread.sleep(KEEP_ALIVE_MILLIS);
+        Thread.sleep(HEARTBEAT_INTERVAL_MILLIS);
         line = "\n";
       }
     } catch (InterruptedException e) {
