--- a/lab/src/main/java/wheattrack/lab/scale/AxisMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/AxisMeasurements.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * What was measured along one axis: a row of metrics by name for each point. A metric that could
- * not be measured is NaN. Not thread-safe.
+ * The measurements along one axis: a row of metrics by name for each point. A metric that could not
+ * be measured is NaN. Not thread-safe.
  */
 public final class AxisMeasurements {
   /** The metrics of one point, in the order in which they were measured. */
@@ -33,11 +33,14 @@
    */
   public record Line(double slope, double error, double slopeRatio) {}
 
-  /** Prefix of the metrics of the complete proxy that runs alongside. */
+  /** Prefix of the metrics of the reference proxy, which runs alongside the control-only ones. */
   private static final String REFERENCE_PREFIX = "w_";
 
   private static final int MIN_COLUMN_WIDTH = 8;
 
+  /** Values from this one on are printed without a fraction. */
+  private static final int MIN_ROUNDED_VALUE = 100;
+
   private final String axis;
   private final String unit;
   private final List<Row> rows = new ArrayList<>();
@@ -52,7 +55,7 @@
     return axis;
   }
 
-  /** What the points count. */
+  /** What the points of the axis count, as printed. */
   public String unit() {
     return unit;
   }
@@ -62,7 +65,7 @@
     return Collections.unmodifiableList(rows);
   }
 
-  /** Adds a point and returns its metrics, to be filled. */
+  /** Adds a row for a point and returns its map of metrics, to which the caller adds them. */
   Map<String, Double> addRow(double point) {
     Map<String, Double> metrics = new LinkedHashMap<>();
     rows.add(new Row(point, metrics));
@@ -82,7 +85,7 @@
         .toList();
   }
 
-  /** The line through the samples of a metric; null with fewer than three. */
+  /** The line through the samples of a metric; null if there are fewer than three. */
   public Line line(String name) {
     List<Sample> samples = samples(name);
     int count = samples.size();
@@ -108,7 +111,10 @@
     return (to.value - from.value) / (to.point - from.point);
   }
 
-  /** As a table, the line of each metric and its ratio to the reference below. */
+  /**
+   * All rows as a table, followed by the line of each metric and the range of its ratios to the
+   * same metric of the reference proxy.
+   */
   public String table() {
     StringBuilder table = new StringBuilder();
     List<String> names = names();
@@ -129,7 +135,7 @@
     if (line != null) {
       append(
           table,
-          "%n  %-18s slope %.4g ± %.2g by %s, last to first %.2f",
+          "%n  %-18s slope %.4g ± %.2g by %s, last slope to first %.2f",
           name,
           line.slope,
           line.error,
@@ -147,7 +153,7 @@
     if (ratios.getCount() > 0) {
       append(
           table,
-          "%n  %-18s %.2f to %.2f of the real one's",
+          "%n  %-18s %.2f to %.2f of the reference proxy's",
           name,
           ratios.getMin(),
           ratios.getMax());
@@ -166,6 +172,7 @@
     if (!Double.isFinite(value)) {
       return "-";
     }
-    return String.format(Locale.ROOT, Math.abs(value) >= 100 ? "%.0f" : "%.3g", value);
+    return String.format(
+        Locale.ROOT, Math.abs(value) >= MIN_ROUNDED_VALUE ? "%.0f" : "%.3g", value);
   }
 }
--- a/lab/src/main/java/wheattrack/lab/scale/CapacityReport.java
+++ b/lab/src/main/java/wheattrack/lab/scale/CapacityReport.java
@@ -5,10 +5,14 @@
 
 /** The measurements as one self-contained HTML page: a curve for each metric. */
 final class CapacityReport {
+  // Size of a curve and its margin, in pixels.
   private static final int WIDTH = 300;
   private static final int HEIGHT = 120;
   private static final int MARGIN = 8;
 
+  /** The least value at the top of a curve, which avoids a division by zero. */
+  private static final double MIN_TOP_VALUE = 1e-9;
+
   private CapacityReport() {}
 
   /** The page's text. */
@@ -32,7 +36,8 @@
     double maxX = samples.stream().mapToDouble(AxisMeasurements.Sample::point).max().orElse(1);
     double maxY =
         Math.max(
-            1e-9, samples.stream().mapToDouble(AxisMeasurements.Sample::value).max().orElse(1));
+            MIN_TOP_VALUE,
+            samples.stream().mapToDouble(AxisMeasurements.Sample::value).max().orElse(1));
     StringBuilder points = new StringBuilder();
     for (AxisMeasurements.Sample sample : samples) {
       double x = MARGIN + sample.point() / maxX * WIDTH;
--- a/lab/src/main/java/wheattrack/lab/scale/ControlOnlyCommand.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ControlOnlyCommand.java
@@ -1,16 +1,16 @@
 package wheattrack.lab.scale;
 
-/** The commands that {@link ControlOnlyProcess} sends to {@link ControlOnlyMain}, one a line. */
+/** The commands that {@link ControlOnlyProcess} sends to {@link ControlOnlyMain}, one per line. */
 enum ControlOnlyCommand {
-  /** Answered by the number of proxies with an endpoint list, and the most backends of one. */
+  /** Answered by the number of proxies with a snapshot, and the length of the longest list. */
   KNOWN("known"),
-  /** Answered by the bytes of heap in use after a collection. */
+  /** Answered by the bytes of heap in use after a garbage collection. */
   HEAP("heap"),
-  /** Forgets when revisions took effect so far. */
+  /** Discards the recorded times at which revisions took effect. */
   FORGET("forget"),
-  /** Answered by a line for each revision: its number, and when it took effect at each proxy. */
+  /** Answered by a line for each revision: its number and the times at which it took effect. */
   REVISION_TIMES("force"),
-  /** Reloads the configuration from the file that follows. */
+  /** Makes each proxy reload its configuration from the file named in the second field. */
   RELOAD("reload");
 
   /** The last line of each answer. */
@@ -25,12 +25,12 @@
     this.keyword = keyword;
   }
 
-  /** The first field of its line. */
+  /** The first field of the command's line. */
   String keyword() {
     return keyword;
   }
 
-  /** The command of this keyword; null for an unknown one. */
+  /** The command with this keyword; null if there is none. */
   static ControlOnlyCommand of(String keyword) {
     for (ControlOnlyCommand command : values()) {
       if (command.keyword.equals(keyword)) {
--- a/lab/src/main/java/wheattrack/lab/scale/ControlOnlyFleet.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ControlOnlyFleet.java
@@ -7,19 +7,27 @@
 import java.util.List;
 import java.util.Map;
 
-/** The control-only proxies of a point, in as many processes as they need. Not thread-safe. */
+/**
+ * The control-only proxies of one point of an axis, which do the control work of a proxy and serve
+ * no traffic. They are spread evenly over as few processes as they need. Not thread-safe.
+ */
 final class ControlOnlyFleet implements AutoCloseable {
   private static final int MAX_PROXIES_PER_PROCESS = 600;
 
   private final ProcessGroup group;
   private final int size;
   private final List<ControlOnlyProcess> processes = new ArrayList<>();
+
+  /** Heap in use in all processes before the proxies started. */
   private final double emptyHeapBytes;
+
   private final long startedAtNanos;
 
   /**
    * Starts the proxies and waits until they run.
    *
+   * @param size how many proxies
+   * @param config the configuration file of all of them
    * @param settingsSource the source of settings that they watch, or null
    */
   ControlOnlyFleet(ProcessGroup group, int size, Path config, InetSocketAddress settingsSource)
@@ -60,51 +68,56 @@
     return processes.size();
   }
 
-  /** Milliseconds from their start until all have an endpoint list, or NaN after the timeout. */
-  double awaitLists(long timeoutMillis) throws InterruptedException {
-    boolean haveLists = Polling.await(timeoutMillis, () -> proxiesWithList() >= size);
-    return haveLists
+  /**
+   * Waits until all proxies have a snapshot of the source whose revisions are reported: the source
+   * of settings if there is one, else the endpoint list. Returns the milliseconds until then from
+   * the start of the first proxy, or NaN after the timeout.
+   */
+  double awaitSnapshots(long timeoutMillis) throws InterruptedException {
+    boolean haveSnapshots = Polling.await(timeoutMillis, () -> proxiesWithSnapshot() >= size);
+    return haveSnapshots
         ? (System.nanoTime() - startedAtNanos) / ScaleEnvironment.NANOS_PER_MILLI
         : Double.NaN;
   }
 
-  private int proxiesWithList() {
-    return processes.stream().mapToInt(process -> process.known().proxiesWithList()).sum();
+  private int proxiesWithSnapshot() {
+    return processes.stream().mapToInt(process -> process.known().proxiesWithSnapshot()).sum();
   }
 
-  /** The most backends that one of them knows. */
+  /** The length of the longest endpoint list of any proxy. */
   double maxKnownBackends() {
     return processes.stream().mapToDouble(process -> process.known().maxBackends()).max().orElse(0);
   }
 
-  /** KiB of heap that each has taken since its start. */
+  /** KiB of heap per proxy that have been added since the proxies' start. */
   double heapKibEach() {
     double heapBytes = processes.stream().mapToDouble(ControlOnlyProcess::heapBytes).sum();
     return (heapBytes - emptyHeapBytes) / ByteUnits.KIB / size;
   }
 
-  /** Nanoseconds of processor time of all. */
+  /** Nanoseconds of processor time of all processes so far. */
   long cpuNanos() {
     return processes.stream()
         .mapToLong(process -> ProcessStatistics.cpuNanos(process.process()))
         .sum();
   }
 
-  /** Makes all of them reload their configuration; returns once they have. */
+  /** Makes all proxies reload their configuration from this file; returns once they have. */
   void reload(Path config) {
     processes.forEach(process -> process.reload(config));
   }
 
-  /** Forgets when revisions took effect so far. */
+  /** Discards the recorded times at which revisions took effect. */
   void forgetRevisions() {
     processes.forEach(ControlOnlyProcess::forgetRevisions);
   }
 
   /**
-   * Adds how long changes took from when they were made until they took effect, of all changes at
-   * all proxies.
+   * Puts metrics of the time from when a change was made until it took effect, over all changes at
+   * all proxies, and the number of those that did not take effect ({@code untold}).
    *
-   * @param changedAtNanos when each was made; the last of them is the source's latest revision
+   * @param changedAtNanos when each change was made, by System.nanoTime; the last of them is the
+   *     source's latest revision
    */
   void putActivationLatencies(
       long[] changedAtNanos, SourceServer source, Map<String, Double> metrics) {
@@ -128,7 +141,7 @@
     int count = latencies.size();
     metrics.put("untold", (double) changedAtNanos.length * size - count);
     metrics.put("force_p50_ms", count == 0 ? Double.NaN : latencies.get(count / 2));
-    metrics.put("force_p99_ms", Percentiles.of(latencies, 0.99));
+    metrics.put("force_p99_ms", Percentiles.of(latencies, Percentiles.P99));
     metrics.put("force_last_ms", count == 0 ? Double.NaN : latencies.get(count - 1));
   }
 
--- a/lab/src/main/java/wheattrack/lab/scale/ControlOnlyMain.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ControlOnlyMain.java
@@ -25,14 +25,14 @@
 import wheattrack.net.ControlOnlyProxy;
 
 /**
- * A process of control-only proxies on one event loop. It takes commands by the line on standard
- * input and answers each by lines of which the last is {@code end}; it ends with its input. {@link
- * ControlOnlyProcess} is the other side.
+ * A process of control-only proxies on one event loop. It reads commands ({@link
+ * ControlOnlyCommand}) from standard input, one per line, answers each by lines of which the last
+ * is {@code end}, and exits at the end of its input. {@link ControlOnlyProcess} is its client.
  */
 public final class ControlOnlyMain {
   private static final Logger LOG = Logger.getLogger("wheattrack");
 
-  /** Distance between the seeds of two proxies. */
+  /** Difference between the seeds of successive proxies. */
   private static final long SEED_STEP = 31L;
 
   /** The scope of settings that the proxies watch. */
@@ -41,10 +41,10 @@
   private final EventLoop loop = new EventLoop();
   private final List<ControlOnlyProxy> proxies = new ArrayList<>();
 
-  /** By revision: when it took effect at each proxy, in nanoseconds of the shared clock. */
+  /** By revision: the times at which it took effect at the proxies, by System.nanoTime. */
   private final Map<Long, List<Long>> activationTimes = new TreeMap<>();
 
-  /** The latest revision at each proxy; 0 before the first. */
+  /** The latest revision at each proxy, by its index; 0 before the first. */
   private final long[] latestRevisions;
 
   private ControlOnlyMain(int count) {
@@ -52,9 +52,11 @@
   }
 
   /**
-   * Runs with the arguments COUNT FIRST CONFIG [SOURCE]: that many proxies of this configuration,
-   * numbered from FIRST on; with a source of settings they watch it, and it is its revisions that
-   * are reported, else those of the endpoint list.
+   * Runs COUNT proxies with the configuration file CONFIG, numbered from FIRST on. With SOURCE, the
+   * address of a source of settings, the proxies watch it and its revisions are reported; without
+   * it, those of the endpoint list are.
+   *
+   * @param args COUNT FIRST CONFIG [SOURCE]
    */
   public static void main(String[] args) throws Exception {
     LOG.setLevel(Level.SEVERE);
@@ -108,7 +110,7 @@
     String[] arguments = line.split(" ");
     ControlOnlyCommand command = ControlOnlyCommand.of(arguments[0]);
     if (command == null) {
-      System.out.println("unknown order: " + line);
+      System.out.println("unknown command: " + line);
       return;
     }
     switch (command) {
@@ -122,10 +124,11 @@
   }
 
   private void printKnown() {
-    long proxiesWithList = Arrays.stream(latestRevisions).filter(revision -> revision > 0).count();
+    long proxiesWithSnapshot =
+        Arrays.stream(latestRevisions).filter(revision -> revision > 0).count();
     int maxBackends =
         proxies.stream().mapToInt(ControlOnlyProxy::listedBackendCount).max().orElse(0);
-    System.out.println(proxiesWithList + " " + maxBackends);
+    System.out.println(proxiesWithSnapshot + " " + maxBackends);
   }
 
   private void noteRevision(int index, long revision) {
@@ -144,7 +147,7 @@
     System.out.print(lines);
   }
 
-  /** Each proxy reads and checks the file by itself, as each process would. */
+  /** Each proxy reads and checks the file by itself, as each of as many processes would. */
   private void reload(Path file) throws InterruptedException {
     executeOnLoop(
         () -> {
@@ -158,14 +161,14 @@
         });
   }
 
-  /** Bytes of heap in use after a collection. */
+  /** Bytes of heap in use after a garbage collection. */
   private static long heapBytes() {
     System.gc();
     Runtime runtime = Runtime.getRuntime();
     return runtime.totalMemory() - runtime.freeMemory();
   }
 
-  /** Runs the task on the event loop's thread and waits for its end. */
+  /** Runs the task on the event loop's thread and waits until it has ended. */
   private void executeOnLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.execute(
--- a/lab/src/main/java/wheattrack/lab/scale/ControlOnlyProcess.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ControlOnlyProcess.java
@@ -12,20 +12,25 @@
 import java.util.Map;
 
 /**
- * A process of control-only proxies ({@link ControlOnlyMain}), to which commands are given by the
- * line. Each command throws UncheckedIOException if the process has ended. Not thread-safe.
+ * A client of a process of control-only proxies ({@link ControlOnlyMain}). Each command throws
+ * UncheckedIOException if the process has ended. Not thread-safe.
  */
 final class ControlOnlyProcess {
   /**
-   * What the process says once its proxies have started.
+   * What the process reports once its proxies have started.
    *
-   * @param startedAtNanos when they started, by the clock of System.nanoTime, which is shared
-   * @param heapBytes the heap in use before that
+   * @param startedAtNanos when they started, by System.nanoTime, whose clock all processes share
+   * @param heapBytes the heap in use before they started
    */
   record Start(long startedAtNanos, double heapBytes) {}
 
-  /** How many proxies have an endpoint list, and the most backends that one of them knows. */
-  record Known(int proxiesWithList, double maxBackends) {}
+  /**
+   * What the proxies have received so far.
+   *
+   * @param proxiesWithSnapshot how many have a snapshot of the source whose revisions are reported
+   * @param maxBackends the length of the longest endpoint list
+   */
+  record Known(int proxiesWithSnapshot, double maxBackends) {}
 
   private final Process process;
   private final BufferedReader in;
@@ -50,17 +55,17 @@
     return new Known(Integer.parseInt(fields[0]), Double.parseDouble(fields[1]));
   }
 
-  /** Bytes of heap in use after a collection. */
+  /** Bytes of heap in use after a garbage collection. */
   double heapBytes() {
     return Double.parseDouble(execute(ControlOnlyCommand.HEAP.keyword()).get(0));
   }
 
-  /** Forgets when revisions took effect so far. */
+  /** Discards the recorded times at which revisions took effect. */
   void forgetRevisions() {
     execute(ControlOnlyCommand.FORGET.keyword());
   }
 
-  /** When each revision took effect at each proxy, in nanoseconds of the shared clock. */
+  /** By revision: the times at which it took effect at the proxies, by System.nanoTime. */
   Map<Long, long[]> revisionTimes() {
     Map<Long, long[]> times = new LinkedHashMap<>();
     for (String line : execute(ControlOnlyCommand.REVISION_TIMES.keyword())) {
@@ -70,7 +75,7 @@
     return times;
   }
 
-  /** Makes each proxy reload its configuration; returns once all have. */
+  /** Makes each proxy reload its configuration from this file; returns once all have. */
   void reload(Path config) {
     execute(ControlOnlyCommand.RELOAD.keyword() + " " + config);
   }
@@ -88,7 +93,8 @@
     List<String> lines = new ArrayList<>();
     for (String line = in.readLine(); !ControlOnlyCommand.END.equals(line); line = in.readLine()) {
       if (line == null) {
-        throw new IOException("a process of hollow proxies has ended");
+        throw new IOException(
+            "process " + process.pid() + " of control-only proxies ended before its answer");
       }
       lines.add(line);
     }
--- a/lab/src/main/java/wheattrack/lab/scale/CpuMeter.java
+++ b/lab/src/main/java/wheattrack/lab/scale/CpuMeter.java
@@ -2,39 +2,48 @@
 
 import java.util.function.LongSupplier;
 
-/** Measures the processor time of processes over a span of time. Not thread-safe. */
+/** Measures the processor time of processes over a period. Not thread-safe. */
 final class CpuMeter {
   private final LongSupplier cpuNanos;
   private long cpuNanosBefore;
   private long startedAtNanos;
 
-  /** Creates a meter that begins now; cpuNanos: processor time so far, in nanoseconds. */
+  /**
+   * Creates a meter whose period begins now.
+   *
+   * @param cpuNanos supplies the processor time so far, in nanoseconds
+   */
   CpuMeter(LongSupplier cpuNanos) {
     this.cpuNanos = cpuNanos;
     restart();
   }
 
-  /** Begins another span of time. */
+  /** Begins another period. */
   void restart() {
     cpuNanosBefore = cpuNanos.getAsLong();
     startedAtNanos = System.nanoTime();
   }
 
-  /** Processor time over elapsed time since the beginning. */
+  /** Processor time divided by elapsed time, both since the beginning of the period. */
   double utilization() {
-    return used() / elapsed();
+    return usedNanos() / elapsedNanos();
   }
 
-  /** Nanoseconds of processor time since the beginning, beyond what is used when idle. */
+  /**
+   * Nanoseconds of processor time since the beginning of the period, less what the idle state takes
+   * in the same time.
+   *
+   * @param idleUtilization the {@link #utilization} of the idle state
+   */
   double nanosBeyond(double idleUtilization) {
-    return used() - idleUtilization * elapsed();
+    return usedNanos() - idleUtilization * elapsedNanos();
   }
 
-  private double used() {
+  private double usedNanos() {
     return cpuNanos.getAsLong() - cpuNanosBefore;
   }
 
-  private double elapsed() {
+  private double elapsedNanos() {
     return System.nanoTime() - startedAtNanos;
   }
 }
--- a/lab/src/main/java/wheattrack/lab/scale/DaemonThreads.java
+++ b/lab/src/main/java/wheattrack/lab/scale/DaemonThreads.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** Starts threads that end with the program and whose errors end only themselves. */
+/** Starts daemon threads whose exceptions end only the thread itself. */
 final class DaemonThreads {
   /** What a thread does. */
   interface Task {
@@ -18,7 +18,8 @@
               try {
                 task.run();
               } catch (IOException | InterruptedException | RuntimeException e) {
-                // the peer has gone or the run is over; the measurement shows what is missing
+                // The peer has disconnected or the run has ended. A measurement lacks the thread's
+                // results.
               }
             });
     thread.setDaemon(true);
--- a/lab/src/main/java/wheattrack/lab/scale/EndpointMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/EndpointMeasurements.java
@@ -12,12 +12,13 @@
 
 /** The axes of the endpoint list: its size, its changes and the number of its watchers. */
 final class EndpointMeasurements {
-  /** Backends in a usual list. */
+  /** Backends in an endpoint list of the usual size. */
   static final int USUAL_LIST = 1000;
 
+  /** For how long changes are made at each rate. */
   private static final int CHANGE_SECONDS = 3;
 
-  /** What is measured while a fleet and, unless it is null, a reference proxy watch a source. */
+  /** A measurement while a fleet and, unless it is null, a reference proxy watch a source. */
   private interface FleetMeasurement {
     void measure(SourceServer source, ReferenceProxy reference, ControlOnlyFleet fleet)
         throws InterruptedException;
@@ -29,7 +30,7 @@
     this.environment = environment;
   }
 
-  /** By backends in the list. */
+  /** Measures a point of the axis of the number of backends in the list. */
   void measureBackends(int backends, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     int fleetSize = backends > USUAL_LIST ? 1 : SMALL_FLEET;
@@ -38,7 +39,7 @@
       long bytesBefore = source.bytesSent();
       try (ControlOnlyFleet fleet =
           environment.startFleet(fleetSize, environment.writeConfig(source, USUAL_RULE_SETS, 0))) {
-        double listMillis = fleet.awaitLists(LIST_TIMEOUT_MILLIS);
+        double listMillis = fleet.awaitSnapshots(LIST_TIMEOUT_MILLIS);
         metrics.put("list_ms", listMillis);
         metrics.put("known", fleet.maxKnownBackends());
         metrics.put(
@@ -64,7 +65,7 @@
     metrics.put("w_rest_mb", reference.residentKib() / (double) ByteUnits.KIB);
   }
 
-  /** By changes a second. */
+  /** Measures a point of the axis of the number of changes per second. */
   void measureChangeRate(int perSecond, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     ChangeSchedule schedule = new ChangeSchedule(CHANGE_SECONDS * perSecond, perSecond);
@@ -72,27 +73,27 @@
         USUAL_LIST,
         SMALL_FLEET,
         (source, reference, fleet) -> {
-          fleet.awaitLists(LIST_TIMEOUT_MILLIS);
+          fleet.awaitSnapshots(LIST_TIMEOUT_MILLIS);
           new SteadyChanges(environment, source, USUAL_LIST)
               .measure(fleet, reference, schedule, metrics);
         });
   }
 
-  /** By control-only proxies that watch the list. */
+  /** Measures a point of the axis of the number of control-only proxies that watch the list. */
   void measureWatchers(int fleetSize, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     measureFleet(
         SMALL_LIST,
         fleetSize,
         (source, reference, fleet) -> {
-          metrics.put("list_ms", fleet.awaitLists(FLEET_LIST_TIMEOUT_MILLIS));
+          metrics.put("list_ms", fleet.awaitSnapshots(FLEET_LIST_TIMEOUT_MILLIS));
           metrics.put("processes", (double) fleet.processCount());
           new SteadyChanges(environment, source, SMALL_LIST)
-              .measure(fleet, reference, ChangeSchedule.GENTLE, metrics);
+              .measure(fleet, reference, ChangeSchedule.SLOW, metrics);
         });
   }
 
-  /** Starts a source of that many backends and a fleet that watches it, and ends both. */
+  /** Starts a source of that many backends and proxies that watch it, measures, and ends them. */
   private void measureFleet(int backends, int fleetSize, FleetMeasurement measurement)
       throws IOException, InterruptedException {
     try (SourceServer source = environment.startEndpointSource(backends);
--- a/lab/src/main/java/wheattrack/lab/scale/HttpMessages.java
+++ b/lab/src/main/java/wheattrack/lab/scale/HttpMessages.java
@@ -8,14 +8,14 @@
 
 /** The part of HTTP/1.1 that the measurements read and write themselves. */
 final class HttpMessages {
-  /** What ends the head of a message. */
+  /** The line break and empty line that end the head of a message. */
   static final String END_OF_HEAD = "\r\n\r\n";
 
   private static final String CONTENT_LENGTH = "content-length: ";
 
   private HttpMessages() {}
 
-  /** The head of the next message with its empty line, or null at the end of the stream. */
+  /** Reads the head of the next message with its empty line; null at the end of the stream. */
   static String readHead(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     for (int next = in.read(); next >= 0; next = in.read()) {
@@ -27,7 +27,7 @@
     return null;
   }
 
-  /** A text as one chunk of a message's chunked body. */
+  /** Encodes an ASCII text as one chunk of a chunked body. */
   static byte[] chunk(String text) {
     byte[] body = text.getBytes(StandardCharsets.US_ASCII);
     byte[] size = (Integer.toHexString(body.length) + "\r\n").getBytes(StandardCharsets.US_ASCII);
@@ -38,7 +38,7 @@
     return chunk;
   }
 
-  /** The Content-Length of a head; 0 without one. */
+  /** The value of the Content-Length header in this head; 0 if the header is missing. */
   static int contentLength(String head) {
     String lowerCase = head.toLowerCase(Locale.ROOT);
     int start = lowerCase.indexOf(CONTENT_LENGTH);
--- a/lab/src/main/java/wheattrack/lab/scale/LatencyProbe.java
+++ b/lab/src/main/java/wheattrack/lab/scale/LatencyProbe.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Sends requests to one proxy at an even rate on one connection, on a thread of its own, and keeps
- * how long each answer took.
+ * Sends requests to one proxy at an even rate on one connection, on a thread of its own, and
+ * records how long each answer took.
  */
 final class LatencyProbe {
   private static final int REQUESTS_PER_SECOND = 100;
@@ -23,7 +23,7 @@
   private volatile boolean isEnded;
   private final Thread thread;
 
-  /** Begins at once. */
+  /** Starts the probe immediately. */
   LatencyProbe(InetSocketAddress proxy) {
     this.proxy = proxy;
     thread = DaemonThreads.start(this::run);
@@ -36,7 +36,7 @@
       connection.setSoTimeout(READ_TIMEOUT_MILLIS);
       long start = System.nanoTime();
       for (long i = 0; !isEnded; i++) {
-        long sendAt = start + i * 1_000_000_000L / REQUESTS_PER_SECOND;
+        long sendAt = start + i * ScaleEnvironment.NANOS_PER_SECOND / REQUESTS_PER_SECOND;
         TimeUnit.NANOSECONDS.sleep(sendAt - System.nanoTime());
         if (!exchange(connection)) {
           return;
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Sends a request and reads its answer; returns whether there was one. */
+  /** Sends a request and reads its answer; returns false if the proxy closed the connection. */
   private boolean exchange(Socket connection) throws IOException {
     long sentAt = System.nanoTime();
     String request =
@@ -64,14 +64,17 @@
     return true;
   }
 
-  /** Ends after this time; returns the 99th percentile in milliseconds, NaN without answers. */
+  /**
+   * Waits for this time and ends the probe; returns the 99th percentile of the latencies in
+   * milliseconds, or NaN if there was no answer.
+   */
   double endAfter(long millis) throws InterruptedException {
     Thread.sleep(millis);
     isEnded = true;
     thread.join(END_TIMEOUT_MILLIS);
     synchronized (latencies) {
       latencies.sort(null);
-      return Percentiles.of(latencies, 0.99);
+      return Percentiles.of(latencies, Percentiles.P99);
     }
   }
 }
--- a/lab/src/main/java/wheattrack/lab/scale/OutageMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/OutageMeasurements.java
@@ -7,13 +7,16 @@
 import java.io.IOException;
 import java.util.Map;
 
-/**
- * The axes about a source that is unavailable for a while: what its watchers do once it is back.
- */
+/** The axes of a source that is unavailable for a while: what its return costs its watchers. */
 final class OutageMeasurements {
   private static final long OUTAGE_MILLIS = 6_000;
-  private static final long FIRST_CALLS_MILLIS = 400;
+
+  /** Time after the return in which connections are counted for {@code calls_first_400ms}. */
+  private static final long FIRST_CONNECTIONS_MILLIS = 400;
+
+  /** Further time until all watchers are expected to have reconnected. */
   private static final long RECOVERY_MILLIS = 6_000;
+
   private static final double NANOS_PER_MICRO = 1e3;
 
   private final ScaleEnvironment environment;
@@ -22,7 +25,7 @@
     this.environment = environment;
   }
 
-  /** By control-only proxies whose source of endpoints is unavailable. */
+  /** Measures that many control-only proxies whose source of endpoints is unavailable. */
   void measureEndpointOutage(int fleetSize, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     try (SourceServer endpoints = environment.startEndpointSource(SMALL_LIST);
@@ -33,7 +36,7 @@
     }
   }
 
-  /** By control-only proxies whose source of settings is unavailable. */
+  /** Measures that many control-only proxies whose source of settings is unavailable. */
   void measureSettingsOutage(int fleetSize, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     try (SourceServer endpoints = environment.startEndpointSource(SMALL_LIST);
@@ -46,18 +49,18 @@
 
   private void measure(ControlOnlyFleet fleet, SourceServer source, Map<String, Double> metrics)
       throws InterruptedException {
-    metrics.put("list_ms", fleet.awaitLists(FLEET_LIST_TIMEOUT_MILLIS));
+    metrics.put("list_ms", fleet.awaitSnapshots(FLEET_LIST_TIMEOUT_MILLIS));
     fleet.forgetRevisions();
     source.setMode(SourceServer.Mode.REFUSING);
     Thread.sleep(OUTAGE_MILLIS);
     long bytesBefore = source.bytesSent();
-    long callsBefore = source.calls();
+    long connectionsBefore = source.acceptedConnections();
     long cpuBefore = fleet.cpuNanos();
     long changedAt = System.nanoTime();
     source.change(0, 1);
     source.setMode(SourceServer.Mode.UP);
-    Thread.sleep(FIRST_CALLS_MILLIS);
-    metrics.put("calls_first_400ms", (double) (source.calls() - callsBefore));
+    Thread.sleep(FIRST_CONNECTIONS_MILLIS);
+    metrics.put("calls_first_400ms", (double) (source.acceptedConnections() - connectionsBefore));
     Thread.sleep(RECOVERY_MILLIS);
     double size = fleet.size();
     metrics.put("return_bytes", (source.bytesSent() - bytesBefore) / size);
--- a/lab/src/main/java/wheattrack/lab/scale/Percentiles.java
+++ b/lab/src/main/java/wheattrack/lab/scale/Percentiles.java
@@ -4,10 +4,13 @@
 
 /** Percentiles of measured values. */
 final class Percentiles {
+  /** The fraction of values up to the 99th percentile. */
+  static final double P99 = 0.99;
+
   private Percentiles() {}
 
-  /** The percentile of sorted values at this part, from 0 to 1; NaN of none. */
-  static double of(List<Double> sorted, double part) {
-    return sorted.isEmpty() ? Double.NaN : sorted.get((int) (part * (sorted.size() - 1)));
+  /** The value at this fraction, from 0 to 1, of the sorted values; NaN if there are none. */
+  static double of(List<Double> sorted, double fraction) {
+    return sorted.isEmpty() ? Double.NaN : sorted.get((int) (fraction * (sorted.size() - 1)));
   }
 }
--- a/lab/src/main/java/wheattrack/lab/scale/ProcessGroup.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ProcessGroup.java
@@ -11,8 +11,9 @@
 import wheattrack.lab.process.Processes;
 
 /**
- * The processes of a run: started, watched for their memory by a thread of its own, and ended by id
- * however the run ends. Started and ended by one thread.
+ * The processes of a run. A thread of the group checks the memory that they hold together. Closing
+ * the group ends all processes that still run, each by its id. Processes are started and ended by
+ * one thread.
  */
 final class ProcessGroup implements AutoCloseable {
   private static final int MAX_PROCESSES = 200;
@@ -25,7 +26,11 @@
   private volatile boolean isLimitExceeded;
   private volatile long peakMemoryBytes;
 
-  /** maxMemoryBytes: what all of them may hold; above it all are killed. */
+  /**
+   * Creates a group without processes and starts to check its memory.
+   *
+   * @param maxMemoryBytes what all processes may hold together; above it all are killed
+   */
   ProcessGroup(long maxMemoryBytes) {
     this.maxMemoryBytes = maxMemoryBytes;
     watcher.setDaemon(true);
@@ -36,7 +41,8 @@
     checkLimit();
     processes.removeIf(process -> !process.isAlive());
     if (processes.size() >= MAX_PROCESSES) {
-      throw new ResourceLimitException(MAX_PROCESSES + " processes run already");
+      throw new ResourceLimitException(
+          "expected fewer than " + MAX_PROCESSES + " running processes, got " + processes.size());
     }
     try {
       Process process = builder.redirectError(new File("/dev/null")).start();
@@ -52,6 +58,7 @@
    *
    * @param count how many proxies it holds
    * @param first the number of the first of them
+   * @param config the configuration file of all of them
    * @param settingsSource the source of settings that they watch, or null
    */
   ControlOnlyProcess startControlOnly(
@@ -77,18 +84,19 @@
   }
 
   /**
-   * Starts a complete proxy by the operators' own command line.
+   * Starts a complete proxy by the command line that operators use.
    *
+   * @param home the root of the source tree, where the command line is run
    * @param directory for its log and temporary files
-   * @param cpus the processors it may use, as taskset takes them, or null for all
+   * @param cpus the processors that it may use, in the form of taskset's option -c; null for all
    */
   Process startProxy(Path home, String commandLine, Path config, Path directory, String cpus) {
-    String pinned =
+    String pinnedCommandLine =
         cpus == null
             ? commandLine
             : commandLine.replaceFirst("^exec ", "exec taskset -c " + cpus + " ");
     ProcessBuilder builder =
-        new ProcessBuilder("/bin/sh", "-c", pinned)
+        new ProcessBuilder("/bin/sh", "-c", pinnedCommandLine)
             .directory(home.toFile())
             .redirectOutput(directory.resolve(config.getFileName() + ".log").toFile());
     builder.environment().put("GW_CONFIG", config.toString());
@@ -111,25 +119,27 @@
       try {
         Thread.sleep(WATCH_INTERVAL_MILLIS);
       } catch (InterruptedException e) {
-        return; // closed
+        return; // the group is closed
       }
     }
   }
 
-  /** Throws ResourceLimitException if the processes held more memory than they may. */
+  /** Throws ResourceLimitException if the processes have held more memory than they may. */
   void checkLimit() {
     if (isLimitExceeded) {
       throw new ResourceLimitException(
-          "memory over " + maxMemoryBytes / ByteUnits.MIB + " MiB: all processes were ended");
+          "the processes held more than the allowed "
+              + maxMemoryBytes / ByteUnits.MIB
+              + " MiB of memory together: all were killed");
     }
   }
 
-  /** The most bytes that all processes held together at any one sample. */
+  /** The most bytes that all processes have held together at any one check. */
   long peakMemoryBytes() {
     return peakMemoryBytes;
   }
 
-  /** Ends a process and waits for its end, 5 s at most. */
+  /** Kills a process and waits until it has ended, 5 s at most. */
   void end(Process process) {
     Processes.killAndWait(process);
     processes.remove(process);
--- a/lab/src/main/java/wheattrack/lab/scale/ProcessStatistics.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ProcessStatistics.java
@@ -9,7 +9,7 @@
 import java.util.stream.Stream;
 import wheattrack.config.InvalidConfigurationException;
 
-/** What /proc says of this machine's memory, and of the memory and processor time of a process. */
+/** Reads this machine's memory, and the memory and processor time of a process, from /proc. */
 final class ProcessStatistics {
   private static final long MAX_MEMORY_BYTES = 12 * ByteUnits.GIB;
   private static final long MIN_FREE_BYTES = ByteUnits.GIB;
@@ -18,7 +18,9 @@
 
   /**
    * Bytes that all processes of a run may hold on this machine: half of its memory, 12 GiB at most,
-   * and no more than is free. Throws InvalidConfigurationException if that is too little.
+   * and no more than is available.
+   *
+   * @throws InvalidConfigurationException if less than 1 GiB is available
    */
   static long allowedMemoryBytes() {
     try (Stream<String> lines = Files.lines(Path.of("/proc/meminfo"))) {
@@ -27,7 +29,11 @@
       long free = kib(info, "MemAvailable:") * ByteUnits.KIB;
       if (free < MIN_FREE_BYTES) {
         throw new InvalidConfigurationException(
-            "memory", free / ByteUnits.MIB + " MiB are free, under 1024");
+            "memory",
+            "expected at least "
+                + MIN_FREE_BYTES / ByteUnits.MIB
+                + " MiB available, got "
+                + free / ByteUnits.MIB);
       }
       return Math.min(half, free);
     } catch (IOException e) {
@@ -36,7 +42,9 @@
   }
 
   /**
-   * Nanoseconds of processor time of a process, without its compiler threads, which come and go.
+   * Nanoseconds of processor time of all threads of a process that run now, except those of the JIT
+   * compiler: the JVM starts and ends them as needed, and the time of an ended thread is missing
+   * from /proc.
    */
   static long cpuNanos(Process process) {
     File[] threads = new File("/proc/" + process.pid() + "/task").listFiles();
@@ -47,7 +55,7 @@
         String times = Files.readString(thread.toPath().resolve("schedstat"));
         sum += name.matches("(?s)C[12] Comp.*") ? 0 : Long.parseLong(times.split(" ")[0]);
       } catch (IOException e) {
-        // the thread has just ended
+        // the thread has ended since the directory was listed
       }
     }
     return sum;
--- a/lab/src/main/java/wheattrack/lab/scale/ProxyConfigFiles.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ProxyConfigFiles.java
@@ -12,24 +12,24 @@
 
 /** Writes the configuration files of a run's proxies, each with a seed of its own. */
 final class ProxyConfigFiles {
-  private static final long SEED_STEP = 0x9E37_79B9L;
+  /** Spreads the seeds of runs, so that proxies of different runs have different seeds. */
+  private static final long SEED_MULTIPLIER = 0x9E37_79B9L;
 
-  /** What the proxies take the number of proxies to be. */
+  /** The number of proxies that the settings state. */
   private static final int PROXY_COUNT = 100;
 
   private static final int MAX_ATTEMPTS = 3;
 
-  /** Microseconds, as the settings have them. */
-  private static final int LOAD_PROBE_INTERVAL = 10_000_000;
+  private static final int LOAD_PROBE_INTERVAL_MICROS = 10_000_000;
 
-  private static final int CONNECT_TIMEOUT = 250_000;
-  private static final int IDLE_TIMEOUT = 30_000_000;
-  private static final int LATENCY_OBJECTIVE = 600_000;
-  private static final int CLIENT_TIMEOUT = 1_200_000;
+  private static final int CONNECT_TIMEOUT_MICROS = 250_000;
+  private static final int IDLE_TIMEOUT_MICROS = 30_000_000;
+  private static final int LATENCY_OBJECTIVE_MICROS = 600_000;
+  private static final int CLIENT_TIMEOUT_MICROS = 1_200_000;
 
   private final Path directory;
   private final long seed;
-  private int written;
+  private int fileCount;
 
   ProxyConfigFiles(Path directory, long seed) {
     this.directory = directory;
@@ -40,11 +40,14 @@
    * Writes one proxy's configuration and returns the file.
    *
    * @param discovery the source of endpoints
-   * @param listen the clients' address, or null for control-only proxies, which have no clients
+   * @param listen the address for clients, whose next port is the admin port; null for control-only
+   *     proxies, which have no clients
+   * @param ruleSets how many rule sets the settings have
+   * @param tenants how many tenants the settings have
    */
   Path write(InetSocketAddress discovery, InetSocketAddress listen, int ruleSets, int tenants)
       throws IOException {
-    written++;
+    fileCount++;
     Map<String, Object> config = new LinkedHashMap<>();
     if (listen == null) {
       config.put("listen", "127.0.0.1:0");
@@ -54,9 +57,9 @@
       config.put("admin", hostAndPort(listen.getHostString(), listen.getPort() + 1));
     }
     config.put("discovery", hostAndPort(discovery.getHostString(), discovery.getPort()));
-    config.put("seed", Long.toHexString(seed * SEED_STEP + written));
+    config.put("seed", Long.toHexString(seed * SEED_MULTIPLIER + fileCount));
     config.put("settings", settings(ruleSets, tenants));
-    Path file = directory.resolve("config-" + written + ".json");
+    Path file = directory.resolve("config-" + fileCount + ".json");
     Files.writeString(file, new ObjectMapper().writeValueAsString(config));
     return file;
   }
@@ -74,13 +77,13 @@
     settings.put("kinds", List.of("m1"));
     settings.put("ruleSets", ruleSets(ruleSets));
     settings.put("tenants", tenants(tenants));
-    settings.put("rules", Map.of("askEvery", LOAD_PROBE_INTERVAL));
+    settings.put("rules", Map.of("askEvery", LOAD_PROBE_INTERVAL_MICROS));
     settings.put(
         "limits",
         Map.of(
             "maxDispatches", MAX_ATTEMPTS,
-            "dialTimeout", CONNECT_TIMEOUT,
-            "idleClose", IDLE_TIMEOUT));
+            "dialTimeout", CONNECT_TIMEOUT_MICROS,
+            "idleClose", IDLE_TIMEOUT_MICROS));
     return settings;
   }
 
@@ -92,8 +95,8 @@
       ruleSet.put("effect", "read_like");
       ruleSet.put("group", "all");
       ruleSet.put("window", 0);
-      ruleSet.put("responseTarget", LATENCY_OBJECTIVE);
-      ruleSet.put("clientTimeout", CLIENT_TIMEOUT);
+      ruleSet.put("responseTarget", LATENCY_OBJECTIVE_MICROS);
+      ruleSet.put("clientTimeout", CLIENT_TIMEOUT_MICROS);
       ruleSets.add(ruleSet);
     }
     return ruleSets;
--- a/lab/src/main/java/wheattrack/lab/scale/ReferenceProxy.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ReferenceProxy.java
@@ -6,19 +6,30 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** A complete proxy, started by the operators' command line, to compare control-only ones with. */
+/** A complete proxy, started as operators do, with which the control-only ones are compared. */
 final class ReferenceProxy implements AutoCloseable {
-  private static final int READY_TIMEOUT_MILLIS = 200;
+  /** Of connecting and of reading the answer of one readiness request. */
+  private static final int READY_REQUEST_TIMEOUT_MILLIS = 200;
+
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
   private static final int READ_TIMEOUT_MILLIS = 2000;
 
+  /** Length of a status line up to its status code, such as {@code HTTP/1.1 200}. */
+  private static final int STATUS_CODE_END = 12;
+
   private final ProcessGroup group;
   private final InetSocketAddress address;
   private final Process process;
   private final long startedAtNanos;
   private double readyMillis = Double.NaN;
 
-  /** A process that has just been started, to be ended in its group; address: its clients' port. */
+  /**
+   * Wraps a process that has just been started.
+   *
+   * @param group the group of the process, which ends it
+   * @param address where the proxy listens for clients; its admin port is the next one
+   * @param startedAtNanos when the process was started, by System.nanoTime
+   */
   ReferenceProxy(
       ProcessGroup group, InetSocketAddress address, Process process, long startedAtNanos) {
     this.group = group;
@@ -31,13 +42,13 @@
     return address;
   }
 
-  /** Waits until it is ready; {@link #readyMillis} returns afterwards how long that took. */
+  /** Waits until the proxy is ready, after which {@link #readyMillis} returns how long it took. */
   void awaitReady(long timeoutMillis) throws InterruptedException {
     boolean isReady = Polling.await(timeoutMillis, this::isReady);
     readyMillis = isReady ? millisSinceStart() : Double.NaN;
   }
 
-  /** Milliseconds from its start until it was ready; NaN if it was not in time. */
+  /** Milliseconds from the proxy's start until it was ready; NaN if it was not in time. */
   double readyMillis() {
     return readyMillis;
   }
@@ -50,20 +61,20 @@
     return (System.nanoTime() - startedAtNanos) / ScaleEnvironment.NANOS_PER_MILLI;
   }
 
-  /** Asks it whether it is ready. */
+  /** Asks the proxy whether it is ready. */
   boolean isReady() {
     try (Socket connection = new Socket()) {
-      connection.connect(address, READY_TIMEOUT_MILLIS);
-      connection.setSoTimeout(READY_TIMEOUT_MILLIS);
+      connection.connect(address, READY_REQUEST_TIMEOUT_MILLIS);
+      connection.setSoTimeout(READY_REQUEST_TIMEOUT_MILLIS);
       send(connection, "GET /ready HTTP/1.1\r\n\r\n");
-      byte[] statusLine = connection.getInputStream().readNBytes(12);
+      byte[] statusLine = connection.getInputStream().readNBytes(STATUS_CODE_END);
       return new String(statusLine, StandardCharsets.US_ASCII).endsWith("200");
     } catch (IOException e) {
-      return false; // it does not listen yet
+      return false; // the proxy does not listen yet
     }
   }
 
-  /** A metric of its admin address by name; NaN if there is none or it does not answer. */
+  /** Reads a metric by name from the admin address; NaN if it is missing or nothing answers. */
   double metric(String name) {
     try (Socket connection = new Socket()) {
       connection.connect(
@@ -80,7 +91,7 @@
       return Double.parseDouble(
           text.substring(text.indexOf(':', start) + 1, text.indexOf('|', start)));
     } catch (IOException e) {
-      return Double.NaN; // it does not listen, or no longer
+      return Double.NaN; // the proxy does not listen yet, or no longer
     }
   }
 
@@ -89,8 +100,8 @@
   }
 
   /**
-   * Makes it reload its configuration by a signal: milliseconds of processor time until it has,
-   * which include those of the idle state; NaN after the timeout.
+   * Makes the proxy reload its configuration by SIGHUP; returns the milliseconds of processor time
+   * until it has, which include those that it takes when idle, or NaN after the timeout.
    */
   double reloadCpuMillis(long timeoutMillis) throws IOException, InterruptedException {
     double reloadsBefore = metric("reloads_ok");
@@ -100,7 +111,7 @@
     return isReloaded ? (cpuNanos() - cpuBefore) / ScaleEnvironment.NANOS_PER_MILLI : Double.NaN;
   }
 
-  /** Nanoseconds of processor time so far. */
+  /** Nanoseconds of processor time of the process so far. */
   long cpuNanos() {
     return ProcessStatistics.cpuNanos(process);
   }
@@ -113,7 +124,7 @@
     return ProcessStatistics.residentKib(process);
   }
 
-  /** Puts when it was ready and what its start cost. */
+  /** Puts the time until the proxy was ready, and its processor time and peak memory so far. */
   void putStart(Map<String, Double> metrics) {
     metrics.put("w_ready_ms", readyMillis);
     metrics.put("w_start_cpu_ms", cpuNanos() / ScaleEnvironment.NANOS_PER_MILLI);
--- a/lab/src/main/java/wheattrack/lab/scale/ResourceLimitException.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ResourceLimitException.java
@@ -1,6 +1,6 @@
 package wheattrack.lab.scale;
 
-/** The run needed more memory or processes than it may have, and was ended. */
+/** Thrown when a run needs more memory or processes than it may have. */
 public final class ResourceLimitException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
--- a/lab/src/main/java/wheattrack/lab/scale/RestartMeasurement.java
+++ b/lab/src/main/java/wheattrack/lab/scale/RestartMeasurement.java
@@ -7,10 +7,11 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The axis of complete proxies that start at once, whatever their source does meanwhile. */
+/** The axis of complete proxies that start together, in each mode of their endpoint source. */
 final class RestartMeasurement {
   private static final long READY_TIMEOUT_NANOS = 45_000_000_000L;
   private static final long POLL_INTERVAL_MILLIS = 5;
+  private static final double P90 = 0.9;
 
   private final ScaleEnvironment environment;
 
@@ -18,7 +19,7 @@
     this.environment = environment;
   }
 
-  /** By proxies. */
+  /** Measures that many proxies on half as many processors, or on all if there are fewer. */
   void measure(int count, Map<String, Double> metrics) throws IOException, InterruptedException {
     int processors = Runtime.getRuntime().availableProcessors();
     int cores = Math.max(1, Math.min(processors, (count + 1) / 2));
@@ -38,7 +39,9 @@
     }
   }
 
-  /** Starts proxies and adds each to the list, which has those that run also after a failure. */
+  /**
+   * Starts proxies; adds each to the list immediately, so that it is closed if a later one fails.
+   */
   private void start(int count, SourceServer source, String cpus, List<ReferenceProxy> proxies)
       throws IOException {
     for (int i = 0; i < count; i++) {
@@ -46,17 +49,17 @@
     }
   }
 
-  /** Milliseconds until each was ready, in rising order; NaN, last, for those that were not. */
+  /** Milliseconds until each was ready, in ascending order; NaN, last, for those that were not. */
   private double[] awaitReady(List<ReferenceProxy> proxies) throws InterruptedException {
     double[] readyMillis = new double[proxies.size()];
     Arrays.fill(readyMillis, Double.NaN);
     long deadline = System.nanoTime() + READY_TIMEOUT_NANOS;
-    int missing = proxies.size();
-    while (missing > 0 && System.nanoTime() < deadline) {
+    int notReady = proxies.size();
+    while (notReady > 0 && System.nanoTime() < deadline) {
       for (int i = 0; i < readyMillis.length; i++) {
         if (!Double.isFinite(readyMillis[i]) && proxies.get(i).isReady()) {
           readyMillis[i] = proxies.get(i).millisSinceStart();
-          missing--;
+          notReady--;
         }
       }
       environment.checkLimit();
@@ -72,7 +75,7 @@
       double[] readyMillis,
       Map<String, Double> metrics) {
     int count = readyMillis.length;
-    int rank90 = Math.max(0, (int) Math.ceil(0.9 * count) - 1);
+    int rank90 = Math.max(0, (int) Math.ceil(P90 * count) - 1);
     long residentKib = proxies.stream().mapToLong(ReferenceProxy::residentKib).sum();
     metrics.put(mode + "_p50_ms", readyMillis[count / 2]);
     metrics.put(mode + "_p90_ms", readyMillis[rank90]);
--- a/lab/src/main/java/wheattrack/lab/scale/ScaleAxes.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ScaleAxes.java
@@ -25,21 +25,21 @@
     return List.of(
         new ScaleAxis(
             "backends",
-            "backends known to each",
+            "backends in the endpoint list",
             new int[] {50, 200, 500, 1000, 5000, 50_000, 200_000},
             1,
             200_000,
             endpoints::measureBackends),
         new ScaleAxis(
             "changes",
-            "changes a second, " + EndpointMeasurements.USUAL_LIST + " backends",
+            "changes per second, " + EndpointMeasurements.USUAL_LIST + " backends",
             new int[] {10, 50, 100, 200, 400},
             1,
             2000,
             endpoints::measureChangeRate),
         fleetAxis(
             "watchers",
-            "hollow proxies at one source, " + ScaleEnvironment.SMALL_LIST + " backends",
+            "control-only proxies at one source, " + ScaleEnvironment.SMALL_LIST + " backends",
             endpoints::measureWatchers));
   }
 
@@ -55,21 +55,21 @@
             settings::measureRuleSets),
         new ScaleAxis(
             "tenants",
-            "tenants beside " + ScaleEnvironment.USUAL_RULE_SETS + " rule sets",
+            "tenants, with " + ScaleEnvironment.USUAL_RULE_SETS + " rule sets",
             new int[] {1000, 10_000, 100_000, 430_000},
             1,
             430_000,
             settings::measureTenants),
         new ScaleAxis(
             "scope",
-            "rule sets in scope, ten tenants each, told by a watched source",
+            "rule sets in the watched scope, ten tenants each",
             new int[] {20, 146, 1000, 5000},
             1,
             5000,
             settings::measureScope),
         fleetAxis(
             "scope-watchers",
-            "hollow proxies that watch "
+            "control-only proxies that watch "
                 + SettingsMeasurements.USUAL_SCOPE
                 + " rule sets at one source",
             settings::measureScopeWatchers));
@@ -80,18 +80,18 @@
     return List.of(
         fleetAxis(
             "outage",
-            "hollow proxies that lose one source for 6 s",
+            "control-only proxies whose endpoint source is unavailable for 6 s",
             outages::measureEndpointOutage),
         fleetAxis(
             "scope-outage",
-            "hollow proxies that lose their source of settings for 6 s",
+            "control-only proxies whose source of settings is unavailable for 6 s",
             outages::measureSettingsOutage));
   }
 
   private static ScaleAxis restartAxis(ScaleEnvironment environment) {
     return new ScaleAxis(
         "restart",
-        "real proxies started at once",
+        "complete proxies started together",
         new int[] {1, 10, 30, 147},
         1,
         180,
--- a/lab/src/main/java/wheattrack/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ScaleCommand.java
@@ -16,23 +16,24 @@
 import wheattrack.lab.process.TemporaryDirectory;
 
 /**
- * The command {@code lab scale}: what control costs, along one axis at a time. See
- * docs/operate/scale.md.
+ * The command {@code lab scale}: measures the cost of the control plane, along one axis at a time.
+ * See docs/operate/scale.md.
  */
 public final class ScaleCommand {
-  /** No point begins later than this. */
+  /** No point is begun later than this after the start of the run. */
   private static final long MAX_RUN_NANOS = 600_000_000_000L;
 
   /**
    * What to measure.
    *
-   * @param home the root of the tree, where the operators' command line is run
+   * @param home the root of the source tree, where the operators' command line is run
    * @param axis the one axis to measure, or null for all
-   * @param points its points, divided by commas, or null for those of a full run
-   * @param outputDirectory where the metrics and the report go, or null
-   * @param memoryBytes what all processes may hold, 0 for what the machine allows
+   * @param points its points, separated by commas, or null for those of a full run
+   * @param seed varies the proxies' seeds and the order of changes
+   * @param outputDirectory where the metrics and the report are written, or null for nowhere
+   * @param memoryBytes what all processes may hold together, 0 for what the machine allows
    * @param sendsSnapshots whether the sources send each change as a complete snapshot, a fault that
-   *     a test has to notice
+   *     a test must detect
    * @param hasReferences whether complete proxies run alongside the control-only ones
    */
   public record ScaleOptions(
@@ -48,9 +49,10 @@
   private ScaleCommand() {}
 
   /**
-   * Measures, prints each axis as it is done, and returns the metrics. Throws
-   * InvalidConfigurationException for bad input and ResourceLimitException if the run needed more
-   * than it may have.
+   * Measures, prints each axis once it is measured, and returns the metrics.
+   *
+   * @throws InvalidConfigurationException for bad input
+   * @throws ResourceLimitException if the run needs more memory or processes than it may have
    */
   public static List<AxisMeasurements> run(ScaleOptions options, PrintStream output)
       throws IOException {
@@ -65,12 +67,16 @@
         ProcessGroup processes = new ProcessGroup(memoryLimit);
         ScaleEnvironment environment =
             new ScaleEnvironment(processes, options, directory.path(), commandLine)) {
-      for (ScaleAxis axis : chosen(ScaleAxes.of(environment), options)) {
+      for (ScaleAxis axis : selectAxes(ScaleAxes.of(environment), options)) {
         AxisMeasurements axisMeasurements = new AxisMeasurements(axis.name(), axis.unit());
         measurements.add(axisMeasurements);
         for (int point : points(axis, options.points)) {
           if (System.nanoTime() > deadline) {
-            output.println("not run, as ten minutes are over: " + axis.name() + " " + point);
+            output.println(
+                "not measured, because the run has taken ten minutes: "
+                    + axis.name()
+                    + " "
+                    + point);
           } else {
             measure(axis, point, axisMeasurements, environment, output);
           }
@@ -79,7 +85,7 @@
         output.flush();
       }
       output.printf(
-          "memory of all processes, at most: %d MB%n", processes.peakMemoryBytes() / ByteUnits.MIB);
+          "peak memory of all processes: %d MiB%n", processes.peakMemoryBytes() / ByteUnits.MIB);
     }
     if (options.outputDirectory != null) {
       writeReports(options, measurements);
@@ -87,16 +93,16 @@
     return measurements;
   }
 
-  /** The bytes that all processes may hold, as asked for or as this machine allows. */
+  /** The bytes that all processes may hold together, as requested or as this machine allows. */
   private static long memoryLimit(ScaleOptions options) {
     long allowed = ProcessStatistics.allowedMemoryBytes();
     if (options.memoryBytes > allowed) {
       throw new InvalidConfigurationException(
           "--memory-mb",
-          options.memoryBytes / ByteUnits.MIB
-              + " is over the "
+          "expected at most "
               + allowed / ByteUnits.MIB
-              + " that may be used here");
+              + ", which this machine allows, got "
+              + options.memoryBytes / ByteUnits.MIB);
     }
     return options.memoryBytes > 0 ? options.memoryBytes : allowed;
   }
@@ -109,9 +115,7 @@
         options.outputDirectory.resolve("scale.html"), CapacityReport.html(measurements));
   }
 
-  /**
-   * Measures a point; what keeps it from being measured is printed, and its metrics are missing.
-   */
+  /** Measures a point. After a failure, prints it and leaves out the metrics not yet measured. */
   private static void measure(
       ScaleAxis axis,
       int point,
@@ -123,25 +127,26 @@
     } catch (ResourceLimitException e) {
       throw e;
     } catch (IOException | InterruptedException | RuntimeException e) {
-      environment.checkLimit(); // it may have failed because its processes were ended
-      output.println(axis.name() + " " + point + " fell short: " + e);
+      environment.checkLimit(); // throws if it failed because its processes were killed
+      output.println(axis.name() + " " + point + " could not be measured: " + e);
     }
   }
 
-  private static List<ScaleAxis> chosen(List<ScaleAxis> all, ScaleOptions options) {
+  private static List<ScaleAxis> selectAxes(List<ScaleAxis> all, ScaleOptions options) {
     if (options.axis == null) {
       if (options.points != null) {
         throw new InvalidConfigurationException("--points", "given without --axis");
       }
       return all;
     }
-    List<ScaleAxis> chosen = all.stream().filter(axis -> axis.name().equals(options.axis)).toList();
-    if (chosen.isEmpty()) {
+    List<ScaleAxis> selected =
+        all.stream().filter(axis -> axis.name().equals(options.axis)).toList();
+    if (selected.isEmpty()) {
       throw new InvalidConfigurationException(
           "--axis",
           "'" + options.axis + "' is none of " + all.stream().map(ScaleAxis::name).toList());
     }
-    return chosen;
+    return selected;
   }
 
   private static int[] points(ScaleAxis axis, String text) {
@@ -160,7 +165,7 @@
     }
     if (point < axis.min() || point > axis.max()) {
       throw new InvalidConfigurationException(
-          "--points", point + " is not from " + axis.min() + " to " + axis.max());
+          "--points", "expected " + axis.min() + " to " + axis.max() + ", got " + point);
     }
     return point;
   }
--- a/lab/src/main/java/wheattrack/lab/scale/ScaleEnvironment.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ScaleEnvironment.java
@@ -5,24 +5,27 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What the measurements of a run share: its processes, sources, configurations and settings. */
+/** What the measurements of a run share: its processes, sources, configurations and options. */
 final class ScaleEnvironment implements AutoCloseable {
   /** Nanoseconds in a millisecond. */
   static final double NANOS_PER_MILLI = 1e6;
 
-  /** How long a few proxies may take to learn an endpoint list, or a proxy to be ready. */
+  /** Nanoseconds in a second. */
+  static final long NANOS_PER_SECOND = 1_000_000_000L;
+
+  /** How long a few proxies may take to receive an endpoint list, or a proxy to be ready. */
   static final long LIST_TIMEOUT_MILLIS = 12_000;
 
-  /** How long many proxies may take to learn an endpoint list. */
+  /** How long many proxies may take to receive an endpoint list or settings. */
   static final long FLEET_LIST_TIMEOUT_MILLIS = 4 * LIST_TIMEOUT_MILLIS;
 
-  /** Backends in the list where their number does not matter. */
+  /** Backends in the list where their number is not what is measured. */
   static final int SMALL_LIST = 200;
 
-  /** Rule sets in the configuration where their number does not matter. */
+  /** Rule sets in the configuration where their number is not what is measured. */
   static final int USUAL_RULE_SETS = 100;
 
-  /** Control-only proxies where their number does not matter. */
+  /** Control-only proxies where their number is not what is measured. */
   static final int SMALL_FLEET = 8;
 
   private static final int REFERENCE_PORT = 18_000;
@@ -38,7 +41,8 @@
    * Prepares a run.
    *
    * @param directory for its files
-   * @param commandLine the operators' line that starts a complete proxy; unused without references
+   * @param commandLine the operators' command line that starts a complete proxy; unused without
+   *     reference proxies
    */
   ScaleEnvironment(
       ProcessGroup processes, ScaleCommand.ScaleOptions options, Path directory, String commandLine)
@@ -50,7 +54,7 @@
     configs = new ProxyConfigFiles(directory, options.seed());
   }
 
-  /** Throws ResourceLimitException if the run took more memory than it may. */
+  /** Throws ResourceLimitException if the processes have held more memory than they may. */
   void checkLimit() {
     processes.checkLimit();
   }
@@ -60,14 +64,14 @@
   }
 
   /**
-   * Whether complete proxies run alongside the control-only ones. Without them times say little,
-   * and little time is given to them.
+   * Whether complete proxies run alongside the control-only ones. Without them measured times have
+   * nothing to be compared with, and the steps that make them exact are skipped or shortened.
    */
   boolean hasReferences() {
     return options.hasReferences();
   }
 
-  /** Starts a source of an endpoint list of that many backends. */
+  /** Starts a source of an endpoint list with that many backends. */
   SourceServer startEndpointSource(int backends) throws IOException {
     return new SourceServer(
         new VersionedSource.Backends(backends, backend.address()), options.sendsSnapshots());
@@ -83,7 +87,7 @@
     return configs.write(endpoints.address(), null, ruleSets, tenants);
   }
 
-  /** Starts control-only proxies that have all their settings from their configuration. */
+  /** Starts control-only proxies that take all their settings from their configuration. */
   ControlOnlyFleet startFleet(int size, Path config) throws IOException {
     return new ControlOnlyFleet(processes, size, config, null);
   }
@@ -93,7 +97,10 @@
     return new ControlOnlyFleet(processes, size, config, settings.address());
   }
 
-  /** Starts a complete proxy and waits for it to be ready; null if there are no references. */
+  /**
+   * Starts a complete proxy and waits until it is ready or the timeout has passed; returns null if
+   * this run has no reference proxies.
+   */
   ReferenceProxy startReference(SourceServer endpoints, int ruleSets, int tenants)
       throws IOException, InterruptedException {
     if (!hasReferences()) {
@@ -105,7 +112,10 @@
     return reference;
   }
 
-  /** The same for a proxy that watches a source of settings. */
+  /**
+   * Starts a complete proxy that watches a source of settings, and waits until it is ready or the
+   * timeout has passed; returns null if this run has no reference proxies.
+   */
   ReferenceProxy startReference(SourceServer endpoints, SourceServer settings)
       throws IOException, InterruptedException {
     if (!hasReferences()) {
@@ -126,9 +136,10 @@
   }
 
   /**
-   * Starts a complete proxy of this number on these processors and does not wait for it.
+   * Starts a complete proxy on these processors and does not wait until it is ready.
    *
-   * @param cpus as taskset takes them
+   * @param number from 0 on, which determines its address
+   * @param cpus in the form of taskset's option -c
    */
   ReferenceProxy startPinnedReference(int number, SourceServer endpoints, String cpus)
       throws IOException {
@@ -141,15 +152,17 @@
     return configs.write(endpoints.address(), referenceAddress(number), ruleSets, tenants);
   }
 
-  private ReferenceProxy startReference(
-      int number, Path config, String cpus, String furtherArguments) throws IOException {
+  private ReferenceProxy startReference(int number, Path config, String cpus, String extraArguments)
+      throws IOException {
     long startedAtNanos = System.nanoTime();
-    Path own = Files.createDirectories(directory.resolve("w" + number));
+    Path referenceDirectory = Files.createDirectories(directory.resolve("w" + number));
     Process process =
-        processes.startProxy(options.home(), commandLine + furtherArguments, config, own, cpus);
+        processes.startProxy(
+            options.home(), commandLine + extraArguments, config, referenceDirectory, cpus);
     return new ReferenceProxy(processes, referenceAddress(number), process, startedAtNanos);
   }
 
+  /** An address of its own for each complete proxy, so that all can use the same ports. */
   private static InetSocketAddress referenceAddress(int number) {
     return new InetSocketAddress("127.0.8." + (1 + number), REFERENCE_PORT);
   }
--- a/lab/src/main/java/wheattrack/lab/scale/SettingsMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SettingsMeasurements.java
@@ -12,12 +12,12 @@
 import java.util.Map;
 import wheattrack.lab.scale.SteadyChanges.ChangeSchedule;
 
-/** The axes about settings: their size in a file, and in a source that is watched. */
+/** The axes of settings: their size in a file or in a watched source, and their watchers. */
 final class SettingsMeasurements {
-  /** Rule sets of 18 services, docs/CAPACITY.md. */
+  /** Rule sets of 18 services, see docs/CAPACITY.md. */
   static final int USUAL_SCOPE = 146;
 
-  /** How long a proxy may take to read a large configuration and learn its list. */
+  /** How long a proxy may take to read a large configuration and receive its endpoint list. */
   private static final long READY_TIMEOUT_MILLIS = 45_000;
 
   private final ScaleEnvironment environment;
@@ -26,25 +26,25 @@
     this.environment = environment;
   }
 
-  /** By rule sets in the configuration file. */
+  /** Measures a point of the axis of the number of rule sets in the configuration file. */
   void measureRuleSets(int ruleSets, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     measureFile(ruleSets, 0, metrics);
   }
 
-  /** By tenants in the configuration file. */
+  /** Measures a point of the axis of the number of tenants in the configuration file. */
   void measureTenants(int tenants, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     measureFile(USUAL_RULE_SETS, tenants, metrics);
   }
 
-  /** By rule sets in the source that a few proxies watch. */
+  /** Measures a point of the axis of the number of rule sets in a source that proxies watch. */
   void measureScope(int ruleSets, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     measureSource(ruleSets, SMALL_FLEET, metrics);
   }
 
-  /** By control-only proxies that watch a source of the usual size. */
+  /** Measures a point of the axis of the number of proxies that watch a source of usual size. */
   void measureScopeWatchers(int fleetSize, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     measureSource(USUAL_SCOPE, fleetSize, metrics);
@@ -56,7 +56,7 @@
       Path config = environment.writeConfig(source, ruleSets, tenants);
       metrics.put("file_mb", Files.size(config) / (double) ByteUnits.MIB);
       try (ControlOnlyFleet fleet = environment.startFleet(1, config)) {
-        fleet.awaitLists(READY_TIMEOUT_MILLIS);
+        fleet.awaitSnapshots(READY_TIMEOUT_MILLIS);
         long cpuBefore = fleet.cpuNanos();
         long start = System.nanoTime();
         fleet.reload(config);
@@ -76,7 +76,7 @@
     }
   }
 
-  /** Settings from a watched source: what a change costs, and when it takes effect. */
+  /** Measures settings from a watched source: what a change costs and when it takes effect. */
   private void measureSource(int ruleSets, int fleetSize, Map<String, Double> metrics)
       throws IOException, InterruptedException {
     try (SourceServer endpoints = environment.startEndpointSource(SMALL_LIST);
@@ -85,7 +85,8 @@
       try (ReferenceProxy reference = environment.startReference(endpoints, settings)) {
         long bytesBefore = settings.bytesSent();
         try (ControlOnlyFleet fleet = environment.startFleet(fleetSize, config, settings)) {
-          metrics.put("whole_ms", fleet.awaitLists(FLEET_LIST_TIMEOUT_MILLIS));
+          metrics.put("whole_ms", fleet.awaitSnapshots(FLEET_LIST_TIMEOUT_MILLIS));
+          // bytes of the complete snapshot per proxy, as whole_ms is the time until all have it
           metrics.put(
               "whole_kb",
               (settings.bytesSent() - bytesBefore) / (double) ByteUnits.KIB / fleetSize);
@@ -95,7 +96,7 @@
             metrics.put("w_rss_mb", reference.peakResidentMib());
           }
           ChangeSchedule schedule =
-              fleetSize <= SMALL_FLEET ? ChangeSchedule.FAST : ChangeSchedule.GENTLE;
+              fleetSize <= SMALL_FLEET ? ChangeSchedule.FAST : ChangeSchedule.SLOW;
           new SteadyChanges(environment, settings, ruleSets)
               .measure(fleet, reference, schedule, metrics);
           if (reference != null) {
--- a/lab/src/main/java/wheattrack/lab/scale/SourceHistory.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SourceHistory.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * The revisions of a source: the latest one as a complete snapshot, and a bounded number of changes
- * before it. Not thread-safe.
+ * The revisions of a source: the latest one as a complete snapshot, and a bounded number of the
+ * changes that led to it. Not thread-safe.
  */
 final class SourceHistory {
   private static final int MAX_CHANGES = 20_000;
@@ -15,7 +15,7 @@
   private final Deque<String> changes = new ArrayDeque<>();
   private long revision = 1;
 
-  /** The snapshot of the latest revision, or null until it is needed. */
+  /** The snapshot of the latest revision; null until it is requested. */
   private String snapshot;
 
   SourceHistory(VersionedSource source) {
@@ -27,7 +27,12 @@
     return revision;
   }
 
-  /** Changes that many entries from this one on, as one revision, and returns the change. */
+  /**
+   * Changes entries as one new revision and returns the line that describes the change.
+   *
+   * @param first index of the first changed entry
+   * @param count how many entries change, wrapping around after the last
+   */
   String change(int first, int count) {
     revision++;
     String change = source.change(revision, first, count);
@@ -48,8 +53,10 @@
   }
 
   /**
-   * What a client needs that knows this revision: the changes since, or a snapshot where it knows
-   * none (below 0) or one that is not in the history.
+   * The lines that bring a client up to date: the changes after the revision that it knows, or a
+   * snapshot if the history does not reach back to that revision.
+   *
+   * @param knownRevision below 0 if the client knows none
    */
   List<String> since(long knownRevision) {
     if (knownRevision < revision - changes.size() || knownRevision > revision) {
--- a/lab/src/main/java/wheattrack/lab/scale/SourceServer.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SourceServer.java
@@ -17,18 +17,18 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A discovery or settings server for thousands of watches: one thread, an answer in chunks to each
- * watch. It keeps a bounded history of changes; a client that asks for an earlier revision gets a
- * complete snapshot. Its methods may be called by any thread.
+ * A discovery or settings server for thousands of watches on one thread, each answered by a chunked
+ * response that does not end. It keeps a bounded history of changes; a client whose revision is
+ * before that gets a complete snapshot. Its methods may be called by any thread.
  */
 final class SourceServer implements AutoCloseable {
   /** What the server does with its clients. */
   enum Mode {
-    /** Serves. */
+    /** Answers each watch and sends it all changes. */
     UP,
-    /** Does not listen. */
+    /** Does not listen, so that connections are refused. */
     REFUSING,
-    /** Accepts connections and never answers them, then or later. */
+    /** Accepts connections and never answers them, not even in a later mode. */
     SILENT
   }
 
@@ -36,7 +36,7 @@
   private static final int READ_BUFFER_BYTES = 1 << 16;
   private static final long SELECT_TIMEOUT_MILLIS = 50;
 
-  /** An empty line goes to each watch this often, as a heartbeat. */
+  /** An empty line is sent to each watch at this interval, as a heartbeat. */
   private static final long HEARTBEAT_NANOS = 2_000_000_000;
 
   private static final long EXECUTE_TIMEOUT_SECONDS = 5;
@@ -53,7 +53,7 @@
   private final Thread thread;
   private final AtomicLong bytesSent = new AtomicLong();
   private final AtomicLong bytesReceived = new AtomicLong();
-  private final AtomicLong calls = new AtomicLong();
+  private final AtomicLong acceptedConnections = new AtomicLong();
   private ServerSocketChannel listener;
   private Mode mode = Mode.REFUSING;
   private volatile boolean isClosed;
@@ -61,8 +61,8 @@
   /**
    * Starts to serve at a free port.
    *
-   * @param sendsSnapshots whether each change is sent as a complete snapshot: a faulty server that
-   *     a test has to notice
+   * @param sendsSnapshots whether each change is sent as a complete snapshot, a fault that a test
+   *     must detect
    */
   SourceServer(VersionedSource source, boolean sendsSnapshots) throws IOException {
     history = new SourceHistory(source);
@@ -91,18 +91,18 @@
   }
 
   /** Connections accepted so far. */
-  long calls() {
-    return calls.get();
+  long acceptedConnections() {
+    return acceptedConnections.get();
   }
 
-  /** The latest revision, once all changes requested until now are made. */
+  /** Waits until all changes requested so far are made; returns the latest revision. */
   long revision() {
     long[] latest = new long[1];
     executeAndWait(() -> latest[0] = history.revision());
     return latest[0];
   }
 
-  /** Changes the mode and returns once that is done; any mode but UP ends the watches there are. */
+  /** Changes the mode and waits until that is done; any mode but UP closes all open watches. */
   void setMode(Mode next) {
     executeAndWait(
         () -> {
@@ -114,7 +114,7 @@
               listen();
             }
           } catch (IOException e) {
-            throw new IllegalStateException(e);
+            throw new IllegalStateException("no change to mode " + next + " at " + address, e);
           }
           if (next != Mode.UP) {
             List.copyOf(watches).forEach(this::drop);
@@ -136,7 +136,12 @@
     }
   }
 
-  /** Changes that many entries from this one on, as one revision; does not wait for it. */
+  /**
+   * Requests a change of entries as one new revision and does not wait until it is made.
+   *
+   * @param first index of the first changed entry
+   * @param count how many entries change, wrapping around after the last
+   */
   void change(int first, int count) {
     execute(
         () -> {
@@ -166,7 +171,7 @@
     }
   }
 
-  // What follows runs on the server's thread only.
+  // The methods from here to drop() run only on the server's thread.
 
   private void run() {
     long heartbeatAt = System.nanoTime();
@@ -186,7 +191,7 @@
           sendToAll(HttpMessages.chunk("\n"));
         }
       } catch (IOException e) {
-        throw new IllegalStateException(e);
+        throw new IllegalStateException("source at " + address + " has failed", e);
       }
     }
   }
@@ -218,7 +223,7 @@
     }
     for (SocketChannel channel = listener.accept(); channel != null; channel = listener.accept()) {
       watches.add(new SourceWatch(channel, selector, bytesSent));
-      calls.incrementAndGet();
+      acceptedConnections.incrementAndGet();
     }
   }
 
@@ -246,7 +251,7 @@
     }
   }
 
-  /** Sends to each watch; a copy of the list is made, as a failed one is dropped from it. */
+  /** Sends to each notified watch. Iterates over a copy, as a failed watch is removed meanwhile. */
   private void sendToAll(byte[] chunk) {
     for (SourceWatch watch : watches.stream().filter(SourceWatch::isNotified).toList()) {
       try {
--- a/lab/src/main/java/wheattrack/lab/scale/SourceWatch.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SourceWatch.java
@@ -13,8 +13,8 @@
 import java.util.regex.Pattern;
 
 /**
- * One connection of a client that watches a source: its request, and what is still to be written.
- * Used by the server's thread only.
+ * One connection of a client that watches a source: its request, and the bytes still to be written.
+ * Used only by the server's thread.
  */
 final class SourceWatch implements AutoCloseable {
   private static final Pattern KNOWN_REVISION = Pattern.compile("after=(\\d+)");
@@ -28,9 +28,9 @@
   private boolean isIgnored;
 
   /**
-   * Registers a channel that has just been accepted with the selector.
+   * Registers a newly accepted channel with the selector.
    *
-   * @param bytesSent counts what is written
+   * @param bytesSent counts the bytes written, of all watches
    */
   SourceWatch(SocketChannel channel, Selector selector, AtomicLong bytesSent) throws IOException {
     this.channel = channel;
@@ -39,7 +39,12 @@
     key = channel.register(selector, SelectionKey.OP_READ, this);
   }
 
-  /** Reads what has come, by way of a buffer; returns how many bytes, below 0 at the end. */
+  /**
+   * Reads received bytes and appends them to the head of the request until that is complete.
+   *
+   * @param buffer is overwritten
+   * @return the number of bytes read, negative at the end of the stream
+   */
   int read(ByteBuffer buffer) throws IOException {
     buffer.clear();
     int count = channel.read(buffer);
@@ -50,28 +55,28 @@
     return count;
   }
 
-  /** Whether its request has come. */
+  /** Whether the head of the request has been received completely. */
   boolean isRequested() {
     return isRequested;
   }
 
-  /** Never answers its request, nor sends it any change. */
+  /** Excludes this watch from changes and heartbeats. */
   void ignore() {
     isIgnored = true;
   }
 
-  /** Whether changes are sent to it. */
+  /** Whether changes and heartbeats are sent on this connection. */
   boolean isNotified() {
     return isRequested && !isIgnored;
   }
 
-  /** The revision that its request names; -1 for none. */
+  /** The revision that the request names as known; -1 if it names none. */
   long knownRevision() {
     Matcher known = KNOWN_REVISION.matcher(head);
     return known.find() ? Long.parseLong(known.group(1)) : -1;
   }
 
-  /** Writes bytes after those that are pending, as far as the connection takes them now. */
+  /** Queues bytes after the pending ones; writes as many as the connection accepts now. */
   void write(byte[] bytes) throws IOException {
     boolean isIdle = pending.isEmpty();
     pending.add(ByteBuffer.wrap(bytes));
@@ -80,7 +85,7 @@
     }
   }
 
-  /** Writes what is pending, as far as the connection takes it now. */
+  /** Writes as many of the pending bytes as the connection accepts now. */
   void flush() throws IOException {
     while (!pending.isEmpty()) {
       ByteBuffer next = pending.peek();
@@ -99,7 +104,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // it is gone either way
+      // the watch is removed whether or not closing fails
     }
   }
 }
--- a/lab/src/main/java/wheattrack/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SteadyChanges.java
@@ -5,29 +5,37 @@
 
 /**
  * Measures changes of a source at an even rate: what each costs beyond the idle state, when it
- * takes effect, and how much longer requests take meanwhile.
+ * takes effect, and how long requests take meanwhile.
  */
 final class SteadyChanges {
-  /** How many changes are made, and at what rate. */
+  /**
+   * How many changes are made, and at which rate.
+   *
+   * @param count the number of changes
+   * @param perSecond changes per second
+   */
   record ChangeSchedule(int count, int perSecond) {
     /** For a few watchers. */
     static final ChangeSchedule FAST = new ChangeSchedule(200, 100);
 
     /** For thousands of watchers. */
-    static final ChangeSchedule GENTLE = new ChangeSchedule(20, 5);
+    static final ChangeSchedule SLOW = new ChangeSchedule(20, 5);
   }
 
-  /** Changes before the measurement, so that code is compiled as in a proxy that has run on. */
+  /**
+   * Bounds the unmeasured changes that let the JIT compile the code, as in a long-running proxy.
+   */
   private static final int MAX_WARM_UP_CHANGES = 200;
 
-  /** Bounds the notifications that a fleet gets in the second of warm-up. */
+  /** Bounds the notifications to all proxies of a fleet in the second of warm-up. */
   private static final int MAX_WARM_UP_NOTIFICATIONS = 30_000;
 
   private static final long WARM_UP_PAUSE_MILLIS = 500;
 
-  /** How long the idle state is measured; briefly without references: times say little then. */
+  /** How long the idle state is measured if there are reference proxies. */
   private static final long IDLE_MILLIS = 2000;
 
+  /** How long it is measured otherwise, when its cost is compared with nothing. */
   private static final long SHORT_IDLE_MILLIS = 100;
 
   /** Time for the last change to take effect everywhere. */
@@ -35,6 +43,11 @@
 
   private static final long PROBE_WARM_UP_MILLIS = 1000;
   private static final long PROBE_MILLIS = 2000;
+
+  // Factors of the index of the entry that a change applies to.
+  private static final int SEED_FACTOR = 31;
+  private static final long CHANGE_FACTOR = 7L;
+
   private static final double MICROS_PER_SECOND = 1e6;
   private static final double NANOS_PER_MICRO = 1e3;
 
@@ -42,7 +55,11 @@
   private final SourceServer source;
   private final int entries;
 
-  /** entries: how many the source has, which the changes go through in turn. */
+  /**
+   * Prepares the measurement.
+   *
+   * @param entries how many entries the source has; successive changes apply to different ones
+   */
   SteadyChanges(ScaleEnvironment environment, SourceServer source, int entries) {
     this.environment = environment;
     this.source = source;
@@ -87,7 +104,7 @@
     }
   }
 
-  /** Makes changes that are not measured, unless times say little anyway. */
+  /** Makes changes that are not measured; none if there are no reference proxies. */
   private void warmUp(ControlOnlyFleet fleet, ChangeSchedule schedule) throws InterruptedException {
     if (environment.hasReferences()) {
       int notifications = MAX_WARM_UP_NOTIFICATIONS / fleet.size();
@@ -97,7 +114,7 @@
     }
   }
 
-  /** Puts the latency of requests when idle and while there are changes. */
+  /** Puts the latency of requests in the idle state and while changes are made. */
   private void measureLatency(ReferenceProxy reference, int perSecond, Map<String, Double> metrics)
       throws InterruptedException {
     new LatencyProbe(reference.address()).endAfter(PROBE_WARM_UP_MILLIS);
@@ -107,15 +124,17 @@
     metrics.put("w_p99_beside_ms", probe.endAfter(0));
   }
 
-  /** Makes that many changes of one entry each, evenly; returns when each was made. */
+  /**
+   * Makes changes of one entry each at an even rate; returns when each was made, in nanoseconds.
+   */
   private long[] change(int count, int perSecond) throws InterruptedException {
     long start = System.nanoTime();
     long[] changedAt = new long[count];
     for (int i = 0; i < count; i++) {
-      long changeAt = start + i * 1_000_000_000L / perSecond;
+      long changeAt = start + i * ScaleEnvironment.NANOS_PER_SECOND / perSecond;
       TimeUnit.NANOSECONDS.sleep(Math.max(0, changeAt - System.nanoTime()));
       changedAt[i] = System.nanoTime();
-      source.change((int) ((environment.seed() * 31 + i * 7L) % entries), 1);
+      source.change((int) ((environment.seed() * SEED_FACTOR + i * CHANGE_FACTOR) % entries), 1);
     }
     return changedAt;
   }
--- a/lab/src/main/java/wheattrack/lab/scale/StubBackend.java
+++ b/lab/src/main/java/wheattrack/lab/scale/StubBackend.java
@@ -6,7 +6,10 @@
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 
-/** Answers each request at once, a thread for each connection: the backend of all entries. */
+/**
+ * The backend behind all entries of the endpoint lists. It answers each request immediately, with a
+ * thread for each connection.
+ */
 final class StubBackend implements AutoCloseable {
   private static final int BACKLOG = 256;
   private static final byte[] RESPONSE =
--- a/lab/src/main/java/wheattrack/lab/scale/VersionedSource.java
+++ b/lab/src/main/java/wheattrack/lab/scale/VersionedSource.java
@@ -4,17 +4,22 @@
 import java.util.StringJoiner;
 
 /**
- * What a source holds and sends: entries by number, as a complete snapshot or as those that
- * changed, a line of JSON each. Not thread-safe.
+ * The content of a source: indexed entries, which it renders as one line of JSON, either all of
+ * them (a snapshot) or those that a change concerns. Not thread-safe.
  */
 interface VersionedSource {
-  /** All entries, as of this revision. */
+  /** A line with all entries, under this revision. */
   String snapshot(long revision);
 
-  /** Changes that many entries from this one on, and returns them as this revision. */
+  /**
+   * Changes entries and returns a line with them, under this revision.
+   *
+   * @param first index of the first changed entry
+   * @param count how many entries change, wrapping around after the last
+   */
   String change(long revision, int first, int count);
 
-  /** A list of backends, all at one address; a change switches between SERVING and DRAINING. */
+  /** A list of backends, all at one address. A change toggles between SERVING and DRAINING. */
   final class Backends implements VersionedSource {
     private static final int FIRST_UID = 0x1000_0000;
     private static final int BACKENDS_PER_POD_GROUP = 4;
@@ -69,11 +74,12 @@
     }
   }
 
-  /** Rule sets, each with ten tenants; a change switches a latency objective between two values. */
+  /** Rule sets with ten tenants each. A change toggles a latency objective between two values. */
   final class Scope implements VersionedSource {
     private static final int TENANTS_PER_RULE_SET = 10;
-    private static final int TIGHT_OBJECTIVE = 600_000;
-    private static final int LOOSE_OBJECTIVE = 700_000;
+    private static final int TIGHT_OBJECTIVE_MICROS = 600_000;
+    private static final int LOOSE_OBJECTIVE_MICROS = 700_000;
+    private static final int CLIENT_TIMEOUT_MICROS = 1_200_000;
 
     private final boolean[] isTight;
 
@@ -86,8 +92,10 @@
           + index
           + "\",\"effect\":\"read_like\",\"group\":\"all\",\"window\":0,"
           + "\"responseTarget\":"
-          + (isTight[index] ? TIGHT_OBJECTIVE : LOOSE_OBJECTIVE)
-          + ",\"clientTimeout\":1200000}";
+          + (isTight[index] ? TIGHT_OBJECTIVE_MICROS : LOOSE_OBJECTIVE_MICROS)
+          + ",\"clientTimeout\":"
+          + CLIENT_TIMEOUT_MICROS
+          + "}";
     }
 
     @Override
--- a/lab/src/test/java/wheattrack/lab/scale/ScaleTest.java
+++ b/lab/src/test/java/wheattrack/lab/scale/ScaleTest.java
@@ -16,19 +16,24 @@
 import wheattrack.config.InvalidConfigurationException;
 
 /**
- * The short form of {@code lab scale}: three axes, control-only proxies alone, judged by counts and
- * bytes.
+ * Runs three axes of {@code lab scale} with few points and no reference proxies, and checks counts
+ * and bytes, which do not depend on the machine's speed.
  */
 class ScaleTest {
-  /** Most bytes of one entry of a list. */
+  /** Upper bound of the bytes of one entry of a list. */
   private static final double ENTRY_BYTES = 160;
 
-  /** Most bytes of a change apart from its entries. */
+  /** Upper bound of the bytes of a change apart from its entries. */
   private static final double FRAME_BYTES = 60;
 
-  /** Most bytes of signs of life that go to the account of a change. */
+  /** Upper bound of the bytes of heartbeats that are counted with a change. */
   private static final double HEARTBEAT_BYTES = 60;
 
+  /** Bounds of the bytes that each further rule set adds to the configuration file. */
+  private static final double MIN_RULE_SET_BYTES = 80;
+
+  private static final double MAX_RULE_SET_BYTES = 200;
+
   @TempDir Path directory;
 
   private final ByteArrayOutputStream output = new ByteArrayOutputStream();
@@ -47,56 +52,61 @@
   }
 
   /**
-   * Whether one change costs each watcher one entry however long the list is; up to twice the bytes
-   * count as that.
+   * Whether a change sends each watcher no more than the one changed entry, however long the list
+   * is. The bound leaves room for nearly twice the bytes of an entry.
    */
-  private static boolean isFlat(AxisMeasurements measurements) {
+  private static boolean areChangeBytesBounded(AxisMeasurements measurements) {
     return measurements.rows().stream()
         .allMatch(
             row -> row.metrics().get("change_bytes") < ENTRY_BYTES + FRAME_BYTES + HEARTBEAT_BYTES);
   }
 
   @Test
-  void listsAndChangesCostByTheirEntries() throws Exception {
+  void listBytesGrowWithEntriesAndChangeBytesDoNot() throws Exception {
     AxisMeasurements measurements = measure("backends", "50,200,800", false);
     for (int i = 0; i < 3; i++) {
       double point = measurements.rows().get(i).point();
       assertEquals(point, metric(measurements, i, "known"), output.toString());
       assertEquals(0, metric(measurements, i, "untold"), output.toString());
-      double listBytes = metric(measurements, i, "list_kb") * 1024;
+      double listBytes = metric(measurements, i, "list_kb") * ByteUnits.KIB;
       assertTrue(
           listBytes > 0.5 * ENTRY_BYTES * point && listBytes < ENTRY_BYTES * point + 1000,
           output.toString());
     }
-    assertTrue(isFlat(measurements), output.toString());
+    assertTrue(areChangeBytesBounded(measurements), output.toString());
     assertTrue(Files.readString(directory.resolve("scale.html")).contains("polyline"));
     assertEquals(3, Files.readAllLines(directory.resolve("scale.jsonl")).size());
   }
 
   /**
-   * The source sends each change as a complete snapshot, so that bytes grow with the square of the
-   * list's length.
+   * Guards against a check that cannot fail: the source sends each change as a complete snapshot,
+   * so that the bytes of a change grow with the list and those of changing each entry with the
+   * square of its length.
    */
   @Test
-  void sourceThatSendsSnapshotsIsNoticed() throws Exception {
-    assertTrue(!isFlat(measure("backends", "50,200,800", true)), output.toString());
+  void snapshotsInsteadOfChangesAreDetected() throws Exception {
+    assertTrue(!areChangeBytesBounded(measure("backends", "50,200,800", true)), output.toString());
   }
 
   @Test
-  void changesCostTheSameForAnyNumberOfWatchers() throws Exception {
+  void changeBytesPerWatcherDoNotGrowWithWatchers() throws Exception {
     AxisMeasurements measurements = measure("watchers", "20,60,180", false);
     for (int i = 0; i < 3; i++) {
       assertEquals(0, metric(measurements, i, "untold"), output.toString());
     }
-    assertTrue(isFlat(measurements), output.toString());
+    assertTrue(areChangeBytesBounded(measurements), output.toString());
   }
 
   @Test
-  void ruleSetsCostByTheirNumber() throws Exception {
+  void fileSizeGrowsWithRuleSets() throws Exception {
     AxisMeasurements measurements = measure("rule-sets", "10,100,1000", false);
     double bytesEach =
-        (metric(measurements, 2, "file_mb") - metric(measurements, 1, "file_mb")) * 1048576 / 900;
-    assertTrue(bytesEach > 80 && bytesEach < 200, bytesEach + " bytes each");
+        (metric(measurements, 2, "file_mb") - metric(measurements, 1, "file_mb"))
+            * ByteUnits.MIB
+            / (1000 - 100);
+    assertTrue(
+        bytesEach > MIN_RULE_SET_BYTES && bytesEach < MAX_RULE_SET_BYTES,
+        bytesEach + " bytes each");
   }
 
   @ParameterizedTest
@@ -110,7 +120,7 @@
         "backends|5,|--points",
         "|5|--points"
       })
-  void badInputIsNamedByItsOption(String axis, String points, String key) {
+  void messageOfBadInputBeginsWithItsOption(String axis, String points, String key) {
     InvalidConfigurationException error =
         assertThrows(InvalidConfigurationException.class, () -> measure(axis, points, false));
     assertTrue(
@@ -118,7 +128,10 @@
         error.getMessage());
   }
 
-  /** A bound over the machine's is bad input; a run over its bound is ended with its processes. */
+  /**
+   * A bound above what the machine allows is bad input; a run that exceeds its bound ends with an
+   * exception and leaves no process behind.
+   */
   @Test
   void memoryIsBounded() {
     ScaleCommand.ScaleOptions excessive =
