--- a/lab/src/main/java/wheattrack/lab/scale/ControlOnlyFleet.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ControlOnlyFleet.java
@@ -19,7 +19,7 @@
   private final List<ControlOnlyProcess> processes = new ArrayList<>();
 
   /** Heap in use in all processes before the proxies started. */
-  private final double emptyHeapBytes;
+  private final double initialHeapBytes;
 
   private final long startedAtNanos;
 
@@ -43,7 +43,7 @@
         startedAt = Math.min(startedAt, start.startedAtNanos());
         heapBytes += start.heapBytes();
       }
-      emptyHeapBytes = heapBytes;
+      initialHeapBytes = heapBytes;
       startedAtNanos = startedAt;
     } catch (IOException | RuntimeException e) {
       close();
@@ -92,7 +92,7 @@
   /** KiB of heap per proxy that have been added since the proxies' start. */
   double heapKibEach() {
     double heapBytes = processes.stream().mapToDouble(ControlOnlyProcess::heapBytes).sum();
-    return (heapBytes - emptyHeapBytes) / ByteUnits.KIB / size;
+    return (heapBytes - initialHeapBytes) / ByteUnits.KIB / size;
   }
 
   /** Nanoseconds of processor time of all processes so far. */
--- a/lab/src/main/java/wheattrack/lab/scale/ControlOnlyMain.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ControlOnlyMain.java
@@ -73,7 +73,7 @@
     thread.setDaemon(true);
     thread.start();
     ProxyConfig config = ProxyConfig.read(file);
-    long emptyHeapBytes = heapBytes();
+    long initialHeapBytes = heapBytes();
     long startedAt = System.nanoTime();
     executeOnLoop(
         () -> {
@@ -81,7 +81,7 @@
             start(i, group, config, config.seed() + SEED_STEP * (first + i), source);
           }
         });
-    System.out.println(ControlOnlyCommand.STARTED + " " + startedAt + " " + emptyHeapBytes);
+    System.out.println(ControlOnlyCommand.STARTED + " " + startedAt + " " + initialHeapBytes);
     System.out.println(ControlOnlyCommand.END);
     BufferedReader in =
         new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
--- a/lab/src/main/java/wheattrack/lab/scale/EndpointMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/EndpointMeasurements.java
@@ -45,6 +45,7 @@
         metrics.put(
             "list_kb", (source.bytesSent() - bytesBefore) / (double) ByteUnits.KIB / fleetSize);
         double watchers = fleetSize + (reference == null ? 0 : 1);
+        // bytes of requests per watcher
         metrics.put("asked_bytes", source.bytesReceived() / watchers);
         metrics.put("heap_kb", fleet.heapKibEach());
         if (reference != null) {
@@ -62,6 +63,7 @@
     metrics.put("w_ready_ms", reference.readyMillis());
     metrics.put("w_known", reference.metric("backends_known"));
     reference.putStart(metrics);
+    // resident memory once the control-only proxies have their lists
     metrics.put("w_rest_mb", reference.residentKib() / (double) ByteUnits.KIB);
   }
 
--- a/lab/src/main/java/wheattrack/lab/scale/OutageMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/OutageMeasurements.java
@@ -63,6 +63,7 @@
     metrics.put("calls_first_400ms", (double) (source.acceptedConnections() - connectionsBefore));
     Thread.sleep(RECOVERY_MILLIS);
     double size = fleet.size();
+    // per proxy, from the return of the source to the end of the recovery
     metrics.put("return_bytes", (source.bytesSent() - bytesBefore) / size);
     metrics.put("return_us", (fleet.cpuNanos() - cpuBefore) / NANOS_PER_MICRO / size);
     fleet.putActivationLatencies(new long[] {changedAt}, source, metrics);
--- a/lab/src/main/java/wheattrack/lab/scale/ReferenceProxy.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ReferenceProxy.java
@@ -8,7 +8,7 @@
 
 /** A complete proxy, started as operators do, with which the control-only ones are compared. */
 final class ReferenceProxy implements AutoCloseable {
-  /** Of connecting and of reading the answer of one readiness request. */
+  /** Timeout of connecting, and of each read, in one readiness request. */
   private static final int READY_REQUEST_TIMEOUT_MILLIS = 200;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1000;
@@ -26,7 +26,7 @@
   /**
    * Wraps a process that has just been started.
    *
-   * @param group the group of the process, which ends it
+   * @param group the group of the process, by which it is ended
    * @param address where the proxy listens for clients; its admin port is the next one
    * @param startedAtNanos when the process was started, by System.nanoTime
    */
--- a/lab/src/main/java/wheattrack/lab/scale/RestartMeasurement.java
+++ b/lab/src/main/java/wheattrack/lab/scale/RestartMeasurement.java
@@ -23,6 +23,7 @@
   void measure(int count, Map<String, Double> metrics) throws IOException, InterruptedException {
     int processors = Runtime.getRuntime().availableProcessors();
     int cores = Math.max(1, Math.min(processors, (count + 1) / 2));
+    // processors per proxy, 1 at most
     metrics.put("core_each", Math.min(1, cores / (double) count));
     for (SourceServer.Mode mode : SourceServer.Mode.values()) {
       try (SourceServer source = environment.startEndpointSource(ScaleEnvironment.SMALL_LIST)) {
--- a/lab/src/main/java/wheattrack/lab/scale/SettingsMeasurements.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SettingsMeasurements.java
@@ -100,6 +100,7 @@
           new SteadyChanges(environment, settings, ruleSets)
               .measure(fleet, reference, schedule, metrics);
           if (reference != null) {
+            // settings from the source that the reference proxy has applied
             metrics.put("w_told", reference.metric("settings_told"));
           }
         }
--- a/lab/src/main/java/wheattrack/lab/scale/SteadyChanges.java
+++ b/lab/src/main/java/wheattrack/lab/scale/SteadyChanges.java
@@ -121,6 +121,7 @@
     metrics.put("w_p99_ms", new LatencyProbe(reference.address()).endAfter(PROBE_MILLIS));
     LatencyProbe probe = new LatencyProbe(reference.address());
     change(2 * perSecond, perSecond);
+    // the 99th percentile while changes are made
     metrics.put("w_p99_beside_ms", probe.endAfter(0));
   }
 
