--- a/decisions/src/main/java/wheattrack/api/PolicySettings.java
+++ b/decisions/src/main/java/wheattrack/api/PolicySettings.java
@@ -73,7 +73,7 @@
   /**
    * The total traffic, and the prices of connections, of which only the ratio counts.
    *
-   * @param totalQuota sum of all tenants' quotas, in requests a second over all proxies; 0: not
+   * @param totalQuota sum of all tenants' quotas, in requests per second over all proxies; 0: not
    *     known
    * @param connectionPrice price of keeping connections open
    * @param handshakePrice price of opening one connection
--- a/decisions/src/main/java/wheattrack/discovery/DiscoveryBackoff.java
+++ b/decisions/src/main/java/wheattrack/discovery/DiscoveryBackoff.java
@@ -9,16 +9,16 @@
  */
 public final class DiscoveryBackoff {
   /** The backoff after an answer without a list is the poll interval divided by this. */
-  private static final int ANSWERED_DIVISOR = 100;
+  private static final int ANSWERED_BACKOFF_DIVISOR = 100;
 
   /** The first backoff after a call without an answer is the poll interval divided by this. */
-  private static final int FIRST_DIVISOR = 40;
+  private static final int FIRST_BACKOFF_DIVISOR = 40;
 
   /** The longest backoff is the poll interval divided by this. */
-  private static final int LONGEST_DIVISOR = 4;
+  private static final int MAX_BACKOFF_DIVISOR = 4;
 
   /** Factor from one backoff to the next while calls remain without an answer. */
-  private static final int GROWTH = 2;
+  private static final int BACKOFF_GROWTH = 2;
 
   /** Lower bound of the random factor of a delay; the upper bound is greater by 1. */
   private static final double MIN_JITTER = 0.5;
@@ -59,10 +59,10 @@
     watching = false;
     backoff =
         answered
-            ? pollInterval / ANSWERED_DIVISOR
+            ? pollInterval / ANSWERED_BACKOFF_DIVISOR
             : Math.min(
-                pollInterval / LONGEST_DIVISOR,
-                Math.max(pollInterval / FIRST_DIVISOR, GROWTH * backoff));
+                pollInterval / MAX_BACKOFF_DIVISOR,
+                Math.max(pollInterval / FIRST_BACKOFF_DIVISOR, BACKOFF_GROWTH * backoff));
     long delay = (long) (backoff * (MIN_JITTER + random.draw()));
     runtime.schedule(delay, this::watchAgain);
   }
--- a/decisions/src/main/java/wheattrack/policy/AdmissionControl.java
+++ b/decisions/src/main/java/wheattrack/policy/AdmissionControl.java
@@ -19,6 +19,7 @@
   /** Share of the requests sent that may end late before load is shed. */
   private static final double TOLERATED_LATE_SHARE = 0.1;
 
+  /** Upper bound of the shed share; with a share of 1 no request would be sent under load. */
   private static final double MAX_SHED_SHARE = 0.95;
 
   /**
--- a/decisions/src/main/java/wheattrack/policy/BackendSelector.java
+++ b/decisions/src/main/java/wheattrack/policy/BackendSelector.java
@@ -10,10 +10,11 @@
  */
 final class BackendSelector {
   /**
-   * How well a backend suits a request, best first. CROWDED: it has more than its share of the cost
-   * in flight, or little time would be left. OTHER_ZONE: the value of the request does not justify
-   * the price of crossing zones. TOO_LATE: the request would miss its objective, or the backend is
-   * failing and its interval is another one. OVERLOADED: the wait is too long for admission.
+   * How well a backend suits a request, best first. CROWDED: its report shows a queue, it has more
+   * than its share of the cost in flight, or little time would be left. OTHER_ZONE: the value of
+   * the request does not justify the price of crossing zones. TOO_LATE: the request would miss its
+   * objective, or the backend is failing and its interval is another one. OVERLOADED: the wait is
+   * too long for admission.
    */
   private enum Preference {
     GOOD,
@@ -63,28 +64,30 @@
   /**
    * Selects the backend for the next attempt.
    *
-   * @param first position of the request's interval in the partition
+   * @param firstPosition position of the request's interval in the partition
    * @return the backend, or null if there is none to which the request may be sent now
    */
-  BackendState select(OpenRequest request, int first) {
-    BackendState best = selectByPreference(request, first);
-    return best == null && state.isIdle() ? selectLastResort(request, first) : best;
+  BackendState select(OpenRequest request, int firstPosition) {
+    BackendState best = selectByPreference(request, firstPosition);
+    return best == null && state.isIdle() ? selectLastResort(request, firstPosition) : best;
   }
 
-  private BackendState selectByPreference(OpenRequest request, int first) {
+  private BackendState selectByPreference(OpenRequest request, int firstPosition) {
     BackendState best = null;
     Preference bestPreference = null;
     double earliestFinish = 0;
     int candidates = 0;
-    for (int k = 0; k < partition.size() && candidates < MAX_CANDIDATES; k++) {
-      BackendState backend = partition.at(first + k);
-      if (!isCandidate(backend, request, k == 0)) {
+    for (int offset = 0; offset < partition.size() && candidates < MAX_CANDIDATES; offset++) {
+      BackendState backend = partition.at(firstPosition + offset);
+      boolean ownInterval = offset == 0;
+      if (!isCandidate(backend, request, ownInterval)) {
         continue;
       }
       candidates++;
+      // with an exponent below 1 the cost of a heavy request is less than its hint
       double cautiousCost = Math.max(request.cost(), request.request().costHint());
       double finish = state.waits().timeToFinish(backend, cautiousCost);
-      Preference preference = preferenceOf(backend, request, k == 0, finish);
+      Preference preference = preferenceOf(backend, request, ownInterval, finish);
       if (preference == Preference.GOOD) {
         return backend;
       }
@@ -153,9 +156,9 @@
    * The first backend to which the request may be sent, even if it is ejected: when all others are
    * warming up or ejected, it may have recovered.
    */
-  private BackendState selectLastResort(OpenRequest request, int first) {
-    for (int k = 0; k < partition.size(); k++) {
-      BackendState backend = partition.at(first + k);
+  private BackendState selectLastResort(OpenRequest request, int firstPosition) {
+    for (int offset = 0; offset < partition.size(); offset++) {
+      BackendState backend = partition.at(firstPosition + offset);
       if (mayRunAt(backend, request)
           && balancer.slowStart.permits(backend, request.cost(), partition.size())) {
         return backend;
--- a/decisions/src/main/java/wheattrack/policy/IntervalPartition.java
+++ b/decisions/src/main/java/wheattrack/policy/IntervalPartition.java
@@ -23,11 +23,16 @@
   private static final int MIN_BACKENDS_WITH_REPORTS = 2;
   private static final int MAX_MIN_BACKENDS_WITH_REPORTS = 6;
 
-  // The subset grows by this many backends for each ejected one, less this many times its size.
+  /** Backends by which the subset grows for each ejected one, less the number below. */
   private static final int BACKENDS_ADDED_PER_EJECTED = 4;
+
+  /**
+   * This many times the regular size is subtracted from that growth: the subset grows only while
+   * more than half as many backends are ejected as it regularly has.
+   */
   private static final int SUBSET_SIZES_WITHOUT_GROWTH = 2;
 
-  /** A cost hint is an integer: hints of one value lie between it less and plus a half. */
+  /** Cost hints are integers: exactly the hints of value h lie between h - 0.5 and h + 0.5. */
   private static final double HALF_HINT = 0.5;
 
   private final PolicyState state;
--- a/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
+++ b/decisions/src/main/java/wheattrack/policy/OutlierDetector.java
@@ -22,10 +22,10 @@
   private static final double SILENCE_DIVISOR = 2.0;
 
   /**
-   * Tolerated silence for the work in flight: this many times the time to finish it and a mean
-   * request, per attempt in flight and the mean request.
+   * Further silence that is tolerated for the work in flight, as a multiple of the mean time that
+   * the attempts in flight and one more mean request are expected to take.
    */
-  private static final double TOLERATED_FINISH_TIMES = 6;
+  private static final double TOLERATED_MEAN_TIMES = 6;
 
   /** Longest time between two probe requests to a backend, in ticks. */
   private static final long MAX_PROBE_INTERVAL = 4 * Ticks.SECOND;
@@ -55,7 +55,7 @@
     }
     double silence = backend.timeWithoutAnswer();
     double finishTime = state.waits().timeToFinish(backend, (int) state.costs().meanCost());
-    double toleratedForWork = TOLERATED_FINISH_TIMES * finishTime / (1 + backend.inFlight());
+    double toleratedForWork = TOLERATED_MEAN_TIMES * finishTime / (1 + backend.inFlight());
     double toleratedSilence = state.tightestObjective() / SILENCE_DIVISOR + toleratedForWork;
     if (silence > toleratedSilence) {
       long millis = (long) backend.timeWithoutAnswer() / Ticks.MILLISECOND;
--- a/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
+++ b/decisions/src/main/java/wheattrack/policy/RequestLifecycle.java
@@ -17,14 +17,25 @@
   /** Backends that are probed for their load before a first attempt. */
   private static final int LOAD_PROBES = 2;
 
-  // Each divides a latency objective or the time left.
+  /** The tightest objective divided by this is the longest wait for load probes. */
   private static final int LOAD_PROBE_TIMEOUT_DIVISOR = 30;
+
+  /** A request may be given up once its time left is the tightest objective divided by this. */
   private static final int GIVE_UP_MARGIN_DIVISOR = 10;
+
+  /** An attempt may count as stuck after the tightest objective divided by this. */
   private static final int STUCK_AFTER_DIVISOR = 4;
+
+  /** A request may be hedged from an age of its objective divided by this, extended as below. */
   private static final int HEDGE_AFTER_DIVISOR = 3;
+
+  /**
+   * A rejected client is advised to wait for its time left divided by this, or for the longest
+   * advised wait if less than its objective divided by this is left.
+   */
   private static final int RETRY_AFTER_DIVISOR = 4;
 
-  /** The delay before hedging is longer by this number divided by the number of proxies. */
+  /** The age for hedging is multiplied by 1 plus this number divided by the number of proxies. */
   private static final double HEDGE_DELAY_PROXIES = 3.0;
 
   private final EquiloadBalancer balancer;
@@ -60,10 +71,10 @@
    * from the request's interval on.
    */
   void start() {
-    int wanted = state.settings().loadReports().mustBeProbed() ? LOAD_PROBES : 0;
-    List<BackendState> probed = new ArrayList<>(wanted);
-    for (int k = 0; k < partition.size() && probed.size() < wanted; k++) {
-      BackendState backend = partition.at(firstPosition() + k);
+    int probeCount = state.settings().loadReports().mustBeProbed() ? LOAD_PROBES : 0;
+    List<BackendState> probed = new ArrayList<>(probeCount);
+    for (int offset = 0; offset < partition.size() && probed.size() < probeCount; offset++) {
+      BackendState backend = partition.at(firstPosition() + offset);
       if (backend.isReady() && !backend.isEjected()) {
         probed.add(backend);
       }
@@ -113,7 +124,7 @@
     admission.onAttemptSent();
     long timeout = open.request().deadline() - attempt.sentAt();
     AttemptCallback callback =
-        (outcome, latency, ended) -> onOutcome(attempt, outcome, latency, ended);
+        (outcome, latency, requestEnded) -> onOutcome(attempt, outcome, latency, requestEnded);
     state.runtime().sendAttempt(open.request(), backend.index(), timeout, callback);
   }
 
@@ -192,9 +203,9 @@
   }
 
   /**
-   * Whether to give up a request: its time is nearly over and a late answer has no value. It is not
-   * given up if its client could still retry it, unless load is shed: the same work would then be
-   * done twice.
+   * Whether to give up a request: its time is nearly over and a late answer has no value. If its
+   * client could still retry it, the same work would be done twice: such a request is given up only
+   * while load is shed, with the probability of the shed share.
    */
   private boolean shouldGiveUp() {
     if (open.isStreaming()
--- a/decisions/src/main/java/wheattrack/policy/SlowStart.java
+++ b/decisions/src/main/java/wheattrack/policy/SlowStart.java
@@ -9,7 +9,10 @@
  * of the rate that the backend sustains.
  */
 final class SlowStart {
-  /** Fraction of a backend's capacity that is left for bursts; divided by the number of proxies. */
+  /**
+   * Fraction of a backend's capacity that is left for bursts; divided by the number of proxies that
+   * send to it.
+   */
   private static final double BURST_FRACTION = 0.25;
 
   /** The overload time divided by this is the time between the starts of two proxies. */
--- a/decisions/src/main/java/wheattrack/state/BackendState.java
+++ b/decisions/src/main/java/wheattrack/state/BackendState.java
@@ -196,7 +196,10 @@
     return abandonedCost;
   }
 
-  /** Estimated number of attempts in flight that it accepts, learnt from its rejections. */
+  /**
+   * Estimated number of attempts in flight that it accepts; a rejection lowers it, an answer raises
+   * it.
+   */
   public double capacity() {
     return capacity;
   }
--- a/decisions/src/main/java/wheattrack/state/CostModel.java
+++ b/decisions/src/main/java/wheattrack/state/CostModel.java
@@ -123,13 +123,13 @@
       dropOldHints();
     }
     double previousMeanCost = meanCost;
-    int n = (int) Math.min(hintsSeen, WINDOW_SIZE);
-    sortedHints = Arrays.copyOf(window, n);
+    int hintCount = (int) Math.min(hintsSeen, WINDOW_SIZE);
+    sortedHints = Arrays.copyOf(window, hintCount);
     Arrays.sort(sortedHints);
-    maxHint = MAX_MEDIAN_MULTIPLE * sortedHints[n / 2];
-    fitConstants(n);
-    sumCosts(n);
-    if (unitChanged || (requestsCameBeforeHints && n <= RECENT_HINTS)) {
+    maxHint = MAX_MEDIAN_MULTIPLE * sortedHints[hintCount / 2];
+    fitConstants(hintCount);
+    sumCosts(hintCount);
+    if (unitChanged || (requestsCameBeforeHints && hintCount <= RECENT_HINTS)) {
       rescale(meanCost / previousMeanCost);
     }
   }
@@ -150,7 +150,7 @@
     listener.hintUnitChanged(Math.round(100 * Math.exp(recentLogMean - windowLogMean)));
   }
 
-  private void fitConstants(int n) {
+  private void fitConstants(int hintCount) {
     double sum = 0;
     double sumOfPowers = 0;
     double sumOfLogs = 0;
@@ -163,20 +163,22 @@
       sumOfLogs += log;
       sumOfSquaredLogs += log * log;
     }
-    windowLogMean = sumOfLogs / n;
-    double deviation = Math.sqrt(Math.max(0, sumOfSquaredLogs / n - windowLogMean * windowLogMean));
+    windowLogMean = sumOfLogs / hintCount;
+    double deviation =
+        Math.sqrt(Math.max(0, sumOfSquaredLogs / hintCount - windowLogMean * windowLogMean));
+    // a running mean with gain 1/n has the variance of a mean of 2n - 1 independent samples
     unitChangeThreshold =
         Math.max(MIN_UNIT_CHANGE, UNIT_CHANGE_ERRORS * deviation / Math.sqrt(2 * RECENT_HINTS - 1));
-    baseCost = BASE_SHARE * sum / n;
+    baseCost = BASE_SHARE * sum / hintCount;
     scale = (1 - BASE_SHARE) * sum / sumOfPowers;
   }
 
-  private void sumCosts(int n) {
-    cumulativeCosts = new double[n + 1];
-    for (int i = 0; i < n; i++) {
+  private void sumCosts(int hintCount) {
+    cumulativeCosts = new double[hintCount + 1];
+    for (int i = 0; i < hintCount; i++) {
       cumulativeCosts[i + 1] = cumulativeCosts[i] + costOf(sortedHints[i]);
     }
-    meanCost = cumulativeCosts[n] / n;
+    meanCost = cumulativeCosts[hintCount] / hintCount;
   }
 
   private void rescale(double factor) {
--- a/decisions/src/main/java/wheattrack/state/OpenRequest.java
+++ b/decisions/src/main/java/wheattrack/state/OpenRequest.java
@@ -185,14 +185,14 @@
       backend.lowerCapacity();
     }
     if (outcome == AttemptOutcome.DONE) {
-      learnFromAnswer(attempt, cost, now);
+      recordAnswer(attempt, cost, now);
     }
     if (outcome == AttemptOutcome.DONE || outcome == AttemptOutcome.ERROR) {
       backend.markAnswered();
     }
   }
 
-  private void learnFromAnswer(Attempt attempt, double cost, long now) {
+  private void recordAnswer(Attempt attempt, double cost, long now) {
     if (attempt.foundIdle() && request.costHint() > 0) {
       state.costs().observeLatency(request.costHint(), now - attempt.sentAt());
     }
--- a/decisions/src/main/java/wheattrack/state/RejectionCause.java
+++ b/decisions/src/main/java/wheattrack/state/RejectionCause.java
@@ -8,7 +8,7 @@
   NO_BACKEND_AVAILABLE("all are cold, shut or full"),
   /** A share of all requests is shed, as too many recent ones ended late. */
   LOAD_SHED("a part is denied, as too many ended late"),
-  /** The estimated wait is too long at every backend. */
+  /** The wait is too long at every backend, or a heavy request would miss its deadline anyway. */
   WAIT_TOO_LONG("each wait is judged too long");
 
   private final String logText;
--- a/decisions/src/main/java/wheattrack/state/ReportedLoad.java
+++ b/decisions/src/main/java/wheattrack/state/ReportedLoad.java
@@ -5,7 +5,10 @@
  * requests that a backend processes concurrently is estimated per kind. Not thread-safe.
  */
 public final class ReportedLoad {
-  /** Weight of a new report with queued requests, against the estimate from earlier reports. */
+  /**
+   * Weight of a new report with queued requests, which shows the backend full, against the estimate
+   * from earlier reports.
+   */
   private static final double CONCURRENCY_GAIN = 1.0 / 8;
 
   private final double[] kindConcurrency = new double[BackendState.MAX_KINDS];
--- a/decisions/src/main/java/wheattrack/state/ThroughputEstimator.java
+++ b/decisions/src/main/java/wheattrack/state/ThroughputEstimator.java
@@ -25,6 +25,9 @@
   /** Busy time by which a kind's estimate is shrunk towards the mean of all, in ticks. */
   private static final long KIND_PRIOR_TIME = 2 * Ticks.SECOND;
 
+  /** Time by which a kind's speed is shrunk towards that of all backends, in ticks. */
+  private static final long KIND_SPEED_PRIOR_TIME = Ticks.SECOND;
+
   private final BackendTable backends;
   private final double[] kindCost = new double[BackendState.MAX_KINDS];
   private final double[] kindBusyTime = new double[BackendState.MAX_KINDS];
@@ -122,19 +125,20 @@
     warmRate = warmWeight > 0 ? warmCost * (1 - decayFactor) / Ticks.SECOND / warmWeight : warmRate;
     fleetCostPerTick = time > 0 && cost > 0 ? cost / time : fleetCostPerTick;
     updateKinds();
-    double visits =
+    // the count of arrivals decays by the squared factor, so this is their mean number per second
+    double arrivalsPerBackend =
         arrivals * (1 - DECAY_PER_SECOND * DECAY_PER_SECOND) / Math.max(1, partitionSize);
-    decayFactor = Math.pow(DECAY_PER_SECOND, Math.min(1, visits));
+    decayFactor = Math.pow(DECAY_PER_SECOND, Math.min(1, arrivalsPerBackend));
     backends.all().forEach(backend -> backend.decay(decayFactor));
   }
 
   private void updateKinds() {
-    double fleet =
+    double fleetCostPerAttemptTick =
         Arrays.stream(kindCost).sum() / Math.max(1, Arrays.stream(kindInFlightTime).sum());
     for (int kind = 0; kind < kindSpeed.length; kind++) {
-      double cost = kindCost[kind] + Ticks.SECOND * fleet;
-      double expected = (kindInFlightTime[kind] + Ticks.SECOND) * fleet;
-      kindSpeed[kind] = fleet > 0 ? cost / expected : 1;
+      double cost = kindCost[kind] + KIND_SPEED_PRIOR_TIME * fleetCostPerAttemptTick;
+      double expected = (kindInFlightTime[kind] + KIND_SPEED_PRIOR_TIME) * fleetCostPerAttemptTick;
+      kindSpeed[kind] = fleetCostPerAttemptTick > 0 ? cost / expected : 1;
     }
     DoubleUnaryOperator decay = value -> value * KIND_DECAY_PER_SECOND;
     replaceAll(kindInFlightTime, decay);
--- a/decisions/src/main/java/wheattrack/state/WaitEstimator.java
+++ b/decisions/src/main/java/wheattrack/state/WaitEstimator.java
@@ -9,7 +9,10 @@
   /** Below this busy time, in ticks, latencies don't tell how much other proxies send. */
   private static final long MIN_BUSY_TIME = Ticks.SECOND / 2;
 
-  /** The wait is what exceeds the mean cost times 1 + this number / the number of proxies. */
+  /**
+   * A mean request is expected to take the mean cost, plus this many times the mean cost divided by
+   * the number of proxies. Only time beyond that counts as a wait.
+   */
   private static final double EXPECTED_TIME_PROXIES = 6.0;
 
   private final PolicyState state;
--- a/decisions/src/main/java/wheattrack/state/WarmUpModel.java
+++ b/decisions/src/main/java/wheattrack/state/WarmUpModel.java
@@ -4,7 +4,10 @@
  * Capacity of a backend that warms up, by its age and its own throughput so far. Not thread-safe.
  */
 public final class WarmUpModel {
-  /** The rate of warm backends divided by this is what a warming backend is relied on to have. */
+  /**
+   * The rate of warm backends divided by this is relied on for a warming backend, as if it had its
+   * full capacity already.
+   */
   private static final int WARM_RATE_DIVISOR = 3;
 
   /** Time added to a backend's busy time, so that a short measurement counts little; in ticks. */
--- a/decisions/src/main/java/wheattrack/state/ZoneWeights.java
+++ b/decisions/src/main/java/wheattrack/state/ZoneWeights.java
@@ -6,6 +6,7 @@
  * thread-safe.
  */
 public final class ZoneWeights {
+  /** Lower bound of the weight, which could not grow again from 0. */
   private static final double MIN_WEIGHT = 0.02;
 
   /** Factor applied to the weight in each second in which it is lowered. */
--- a/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/AdmissionTest.java
@@ -22,10 +22,10 @@
     int attemptsBefore = runtime.callbacks.size();
     runtime.arrive("x", 200_000);
     assertTrue(runtime.trace.toString().contains("x denied"), runtime.trace.toString());
-    assertEquals(attemptsBefore, runtime.callbacks.size());
+    assertEquals(attemptsBefore, runtime.callbacks.size(), "attempts after x");
     runtime.advance(SECOND / 2);
     runtime.arrive("y", 200_000);
-    assertEquals(attemptsBefore + 1, runtime.callbacks.size());
+    assertEquals(attemptsBefore + 1, runtime.callbacks.size(), "attempts after y");
   }
 
   /**
--- a/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/BackendSelectionTest.java
@@ -56,11 +56,12 @@
     runtime.arrive("x", 100);
     assertEquals(
         List.of(2, 0),
-        List.of(runtime.trace.toString().split("probe").length - 1, runtime.callbacks.size()));
+        List.of(runtime.trace.toString().split("probe").length - 1, runtime.callbacks.size()),
+        "load probes and attempts");
     runtime.advance(SECOND / 2 / 30);
-    assertEquals(1, runtime.callbacks.size());
+    assertEquals(1, runtime.callbacks.size(), "attempts at the probe timeout");
     runtime.advance(SECOND);
-    assertEquals(1, runtime.callbacks.size());
+    assertEquals(1, runtime.callbacks.size(), "attempts a second later");
   }
 
   /** Three of four backends report requests in flight: the fourth gets all requests. */
@@ -75,7 +76,7 @@
       runtime.advance(100);
       runtime.endAttempt(AttemptOutcome.DONE);
     }
-    assertEquals(20, Collections.frequency(runtime.attemptBackends, 2));
+    assertEquals(20, Collections.frequency(runtime.attemptBackends, 2), "attempts at backend 2");
   }
 
   /**
--- a/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
+++ b/decisions/src/test/java/wheattrack/policy/CostHintsTest.java
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Guards against rejecting requests while backends are idle, which lasted for 4 s after a release
-   * of the clients: hints begin, end, and begin again a thousand times as large.
+   * Guards against rejecting requests while backends are idle, which lasted for 4 s after a new
+   * release of the clients: hints begin, end, and begin again a thousand times as large.
    */
   @Test
   void hintsBeginEndAndChangeTheirUnit() throws IOException {
--- a/decisions/src/test/java/wheattrack/policy/LoadBalancerPropertiesTest.java
+++ b/decisions/src/test/java/wheattrack/policy/LoadBalancerPropertiesTest.java
@@ -64,6 +64,9 @@
     simulation.endAllFaults();
     simulation.advance(20 * SimulatedHistory.SECOND);
     assertNull(simulation.violation());
-    assertEquals(-1, simulation.findStarvedBackend(20 * SimulatedHistory.SECOND));
+    assertEquals(
+        -1,
+        simulation.findStarvedBackend(20 * SimulatedHistory.SECOND),
+        "backend that received no attempt for 20 s");
   }
 }
--- a/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
+++ b/decisions/src/test/java/wheattrack/policy/OutlierDetectionTest.java
@@ -10,6 +10,7 @@
 import wheattrack.api.AttemptOutcome;
 import wheattrack.api.DeduplicationScope;
 import wheattrack.api.Idempotency;
+import wheattrack.state.Ticks;
 
 /** Which backends are avoided or ejected, and when they are reinstated. */
 class OutlierDetectionTest {
@@ -67,16 +68,16 @@
     for (boolean mayHedge : new boolean[] {true, false}) {
       RecordingRuntime runtime = RecordingRuntime.idempotent(3, mayHedge);
       runtime.serveOneByOne(2, COSTS);
-      int first = runtime.callbacks.size();
+      int firstNewAttempt = runtime.callbacks.size();
       for (int i = 0; i < 8; i++) {
         runtime.arrive("r" + i, 10 * i + 10);
         runtime.advance(300);
-        for (int attempt = first; attempt < runtime.callbacks.size(); attempt++) {
+        for (int attempt = firstNewAttempt; attempt < runtime.callbacks.size(); attempt++) {
           if (runtime.attemptBackends.get(attempt) != 0) {
             runtime.endAttempt(attempt, AttemptOutcome.DONE);
           }
         }
-        first = runtime.callbacks.size();
+        firstNewAttempt = runtime.callbacks.size();
       }
       runtime.advance(SECOND);
       runtime.arrive("trial", 10);
@@ -116,7 +117,7 @@
     RecordingRuntime runtime = RecordingRuntime.idempotent(2, false);
     runtime.serveOneByOne(2, COSTS);
     for (long wait : new long[] {SECOND / 10, SECOND / 100}) {
-      runtime.arrive("given up on after " + wait / 10 + " ms", 100);
+      runtime.arrive("given up on after " + wait / Ticks.MILLISECOND + " ms", 100);
       runtime.advance(wait);
       runtime.endAttempt(AttemptOutcome.FULL);
       runtime.endAttempt(AttemptOutcome.DONE);
--- a/decisions/src/test/java/wheattrack/policy/RecordingRuntime.java
+++ b/decisions/src/test/java/wheattrack/policy/RecordingRuntime.java
@@ -17,6 +17,7 @@
 import wheattrack.api.ProbeCallback;
 import wheattrack.api.RequestClass;
 import wheattrack.api.RequestHandle;
+import wheattrack.state.Ticks;
 import wheattrack.testing.TraceRecorder;
 
 /**
@@ -181,11 +182,11 @@
     boolean wasQuiet = quiet;
     quiet = true;
     for (long end = now() + seconds * SECOND, i = 0; now() < end; i++) {
-      int first = callbacks.size();
+      int firstAttempt = callbacks.size();
       int cost = costs[(int) (i % costs.length)];
       arrive("busy", cost);
       advance(cost);
-      for (int attempt = first; attempt < callbacks.size(); attempt++) {
+      for (int attempt = firstAttempt; attempt < callbacks.size(); attempt++) {
         endAttempt(attempt, AttemptOutcome.DONE);
       }
     }
@@ -206,7 +207,12 @@
   public void sendAttempt(
       PendingRequest request, int backend, long timeout, AttemptCallback callback) {
     recordLine(
-        request.attachment() + " -> " + (10 * backend + 10) + " for " + timeout / 10 + " ms");
+        request.attachment()
+            + " -> "
+            + (10 * backend + 10)
+            + " for "
+            + timeout / Ticks.MILLISECOND
+            + " ms");
     attemptBackends.add(backend);
     callbacks.add(callback);
     sentAt.add(now());
@@ -219,7 +225,7 @@
 
   @Override
   public void reject(PendingRequest request, long retryAfter) {
-    recordLine(request.attachment() + " denied, wait " + retryAfter / 10 + " ms");
+    recordLine(request.attachment() + " denied, wait " + retryAfter / Ticks.MILLISECOND + " ms");
   }
 
   @Override
@@ -245,7 +251,7 @@
   @Override
   public void watchEndpoints() {
     watchCount++;
-    recordLine("follow at " + (now() - VirtualClock.START) / 10 + " ms");
+    recordLine("follow at " + (now() - VirtualClock.START) / Ticks.MILLISECOND + " ms");
   }
 
   @Override
--- a/decisions/src/test/java/wheattrack/policy/RetryTest.java
+++ b/decisions/src/test/java/wheattrack/policy/RetryTest.java
@@ -9,6 +9,7 @@
 import wheattrack.api.DeduplicationScope;
 import wheattrack.api.Idempotency;
 import wheattrack.api.PolicySettings;
+import wheattrack.state.Ticks;
 
 /** Which requests are retried, hedged or cancelled, and when. */
 class RetryTest {
@@ -60,9 +61,9 @@
 
   /**
    * Guards against wasting work on late answers, seen on the test day repas: a request past its
-   * objective whose answer has no value any more is cancelled and rejected. It also guards against
-   * doing the same work twice, seen on the test day amman-later rough-2: this is done only if the
-   * Retry-After outlasts the client's timeout.
+   * objective whose answer has no value any more is cancelled and rejected immediately. It also
+   * guards against doing the same work twice, seen on the test day amman-later rough-2: this is
+   * done only if the Retry-After outlasts the client's timeout.
    */
   @Test
   void requestPastItsObjectiveIsCancelledAndRejected() throws IOException {
@@ -77,7 +78,8 @@
       runtime.arrive("next", 4000);
       runtime.endAttempt(0, AttemptOutcome.CANCELLED);
       runtime.arrive("queued behind the ghost", 100);
-      recorder.recordLine("waits up to " + maxRetryAfter / 10 + " ms:\n" + runtime.trace);
+      recorder.recordLine(
+          "waits up to " + maxRetryAfter / Ticks.MILLISECOND + " ms:\n" + runtime.trace);
     }
     recorder.assertMatches("late");
   }
--- a/decisions/src/test/java/wheattrack/policy/SimulatedHistory.java
+++ b/decisions/src/test/java/wheattrack/policy/SimulatedHistory.java
@@ -13,6 +13,7 @@
 import wheattrack.api.PolicySettings;
 import wheattrack.api.ProbeCallback;
 import wheattrack.api.RequestClass;
+import wheattrack.state.Ticks;
 
 /**
  * Simulates one proxy through a history of changes, with backends whose speed is independent of the
@@ -27,6 +28,18 @@
   /** The latency objective of all requests, in tenths of a millisecond. */
   static final long LATENCY_OBJECTIVE = 3_000;
 
+  /** How long a client waits for an answer, in tenths of a millisecond. */
+  private static final long CLIENT_TIMEOUT = 15_000;
+
+  /** How long a backend warms up, in tenths of a millisecond. */
+  private static final long WARM_UP_TIME = 4 * SECOND;
+
+  /** How long an attempt takes that fails immediately, in tenths of a millisecond. */
+  private static final long FAILURE_DURATION = 10;
+
+  /** Number of ways in which cost hints relate to the work of requests. */
+  private static final int HINT_MODES = 9;
+
   /**
    * The longest time in which all requests may be rejected while nothing is in flight and a warm
    * backend is ready, in tenths of a millisecond.
@@ -75,7 +88,7 @@
       new RequestClass(
           0,
           LATENCY_OBJECTIVE,
-          15_000,
+          CLIENT_TIMEOUT,
           Idempotency.IDEMPOTENT,
           DeduplicationScope.ALL,
           0,
@@ -86,7 +99,7 @@
       new RequestClass(
           1,
           LATENCY_OBJECTIVE,
-          15_000,
+          CLIENT_TIMEOUT,
           Idempotency.NON_IDEMPOTENT,
           DeduplicationScope.ALL,
           0,
@@ -123,7 +136,7 @@
     PolicySettings settings =
         PolicySettings.DEFAULTS
             .withAttempts(new PolicySettings.AttemptLimits(3, true, mayHedge, 2 * SECOND))
-            .withSlowStart(new PolicySettings.SlowStartLimits(0.25, 4 * SECOND, 3, SECOND));
+            .withSlowStart(new PolicySettings.SlowStartLimits(0.25, WARM_UP_TIME, 3, SECOND));
     loadBalancer.configure(settings, new RequestClass[] {idempotentClass, nonIdempotentClass});
     loadBalancer.start(false, 10 * SECOND);
     for (int backend = 0; backend < backendCount; backend++) {
@@ -149,7 +162,7 @@
   /** Makes one change, and advances the clock by its time. */
   void apply(Step step) {
     switch (step.change) {
-      case HINTS -> hintMode = step.variant % 9;
+      case HINTS -> hintMode = step.variant % HINT_MODES;
       case SPEED -> slowdown = new double[] {1, 0.1, 10, 3}[step.variant % 4];
       case OUTCOME -> outcome = OUTCOMES[step.variant % OUTCOMES.length];
       case LOAD -> requestsPerSecond = RATES[step.variant % RATES.length];
@@ -200,7 +213,8 @@
     double work = 100 + random.nextDouble() * 200;
     RequestClass requestClass = random.nextInt(4) == 0 ? nonIdempotentClass : idempotentClass;
     loadBalancer.accept(
-        new PendingRequest(requestClass, now(), now() + 15_000, costHint(work), false, work));
+        new PendingRequest(
+            requestClass, now(), now() + CLIENT_TIMEOUT, costHint(work), false, work));
   }
 
   private int costHint(double work) {
@@ -253,7 +267,7 @@
       return maxDuration;
     }
     if (outcome != AttemptOutcome.DONE) {
-      return 10;
+      return FAILURE_DURATION;
     }
     if (isAsync) {
       return (long) (work * slowdown);
@@ -270,7 +284,7 @@
   public void reject(PendingRequest request, long retryAfter) {
     boolean hasWarmBackend = false;
     for (int backend = 0; backend < backendCount; backend++) {
-      hasWarmBackend |= isReady[backend] && now() - startedAt[backend] >= 4 * SECOND;
+      hasWarmBackend |= isReady[backend] && now() - startedAt[backend] >= WARM_UP_TIME;
     }
     if (attemptsInFlight > 0
         || !hasWarmBackend
@@ -280,7 +294,9 @@
       rejectedSince = now();
     } else if (now() - rejectedSince > MAX_REJECTING_TIME) {
       violation =
-          "all rejected for " + (now() - rejectedSince) / 10 + " ms while nothing was in flight";
+          "all rejected for "
+              + (now() - rejectedSince) / Ticks.MILLISECOND
+              + " ms while nothing was in flight";
     }
   }
 
--- a/decisions/src/test/java/wheattrack/policy/SlowStartTest.java
+++ b/decisions/src/test/java/wheattrack/policy/SlowStartTest.java
@@ -113,12 +113,12 @@
       for (int second = 0; second < 8; second++) {
         int attemptsBefore = runtime.attemptBackends.size();
         for (int i = 0; i < 50; i++) {
-          int first = runtime.callbacks.size();
+          int firstNewAttempt = runtime.callbacks.size();
           runtime.arrive("a", 40);
           runtime.arrive("b", 40);
           runtime.advance(40);
           for (int time = 40; time <= 160; time += 40) {
-            for (int attempt = first; attempt < runtime.callbacks.size(); attempt++) {
+            for (int attempt = firstNewAttempt; attempt < runtime.callbacks.size(); attempt++) {
               if (time == (runtime.attemptBackends.get(attempt) == 2 ? 40 * slowdown : 160)) {
                 runtime.endAttempt(attempt, AttemptOutcome.DONE);
               }
--- a/decisions/src/test/java/wheattrack/testing/TraceRecorder.java
+++ b/decisions/src/test/java/wheattrack/testing/TraceRecorder.java
@@ -30,6 +30,7 @@
   public void assertMatches(String name) throws IOException {
     Files.createDirectories(ACTUAL);
     Files.writeString(ACTUAL.resolve(name + ".txt"), trace);
-    assertEquals(Files.readString(EXPECTED.resolve(name + ".txt")), trace.toString());
+    assertEquals(
+        Files.readString(EXPECTED.resolve(name + ".txt")), trace.toString(), "trace " + name);
   }
 }
--- a/proxy/src/main/java/wheattrack/simulator/BackendRecord.java
+++ b/proxy/src/main/java/wheattrack/simulator/BackendRecord.java
@@ -7,8 +7,8 @@
 import wheattrack.core.BackendIndex;
 
 /**
- * The record of one backend in an endpoint list. Only the id is read at once; the other fields are
- * read by their accessors, which throw {@link InvalidConfigurationException} for a value of the
+ * The record of one backend in an endpoint list. Only the id is read on creation; the other fields
+ * are read by their accessors, which throw {@link InvalidConfigurationException} for a value of the
  * wrong type.
  *
  * @param id the backend's id
--- a/proxy/src/main/java/wheattrack/simulator/EndpointListHandler.java
+++ b/proxy/src/main/java/wheattrack/simulator/EndpointListHandler.java
@@ -40,7 +40,12 @@
       }
       default ->
           throw new InvalidInputException(
-              Field.LIST_MODE.wireName() + ": unknown mode of an endpoint list: " + mode);
+              Field.LIST_MODE.wireName()
+                  + ": expected one of "
+                  + SimulatorProtocol.LIST_MODES
+                  + ", got '"
+                  + mode
+                  + "'");
     }
   }
 
--- a/proxy/src/main/java/wheattrack/simulator/SimulatedProxy.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatedProxy.java
@@ -146,8 +146,9 @@
     } catch (NumberFormatException e) {
       throw new InvalidInputException(
           Field.STICKY_KEY.wireName()
-              + ": expected a hexadecimal number of at most 64 bits, got "
-              + key);
+              + ": expected a hexadecimal number of at most 64 bits, got '"
+              + key
+              + "'");
     }
   }
 
--- a/proxy/src/main/java/wheattrack/simulator/SimulatorProtocol.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatorProtocol.java
@@ -1,6 +1,7 @@
 package wheattrack.simulator;
 
 import java.util.HashMap;
+import java.util.List;
 import java.util.Map;
 import wheattrack.api.AttemptOutcome;
 
@@ -66,6 +67,8 @@
   static final String LIST_SNAPSHOT = "F";
   static final String LIST_CACHED_SNAPSHOT = "C";
   static final String LIST_FAILED = "X";
+  static final List<String> LIST_MODES =
+      List.of(LIST_CHANGES, LIST_SNAPSHOT, LIST_CACHED_SNAPSHOT, LIST_FAILED);
 
   // Fields of the record of one backend, and its states.
   static final String READINESS = "readiness";
@@ -163,7 +166,15 @@
       case STATUS_DISCARDED -> AttemptOutcome.DISCARDED;
       default ->
           throw new InvalidInputException(
-              Field.STATUS.wireName() + ": unknown status of an attempt: " + status);
+              Field.STATUS.wireName()
+                  + ": expected "
+                  + STATUS_DONE
+                  + " or "
+                  + STATUS_DISCARDED
+                  + " to "
+                  + STATUS_ERROR
+                  + ", got "
+                  + status);
     };
   }
 }
