--- a/proxy/src/main/java/wheattrack/config/ConfigurationReader.java
+++ b/proxy/src/main/java/wheattrack/config/ConfigurationReader.java
@@ -125,7 +125,9 @@
       }
       return table.computeIfAbsent(segment, key -> new LinkedHashMap<>());
     }
-    throw fault(keyPath, "expected a key of a table, or an index of an existing list entry");
+    throw fault(
+        keyPath,
+        "expected a key of a table, or an index of an existing list entry, got " + segment);
   }
 
   /** Whether the table has this key. Does not mark the key as known. */
--- a/proxy/src/main/java/wheattrack/config/DynamicSettings.java
+++ b/proxy/src/main/java/wheattrack/config/DynamicSettings.java
@@ -35,7 +35,7 @@
   /** All classes by name. The map is never replaced, as callers keep a reference to it. */
   private final Map<String, RequestClass> requestClasses = new HashMap<>();
 
-  /** Requests a second by tenant. */
+  /** Requests per second by tenant. */
   private final Map<String, Double> quotas = new HashMap<>();
 
   private Map<String, Object> limits = Map.of();
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Sets a tenant's quota in requests a second; a negative one removes the tenant. */
+  /** Sets a tenant's quota in requests per second; a negative one removes the tenant. */
   private void putQuota(String name, double quotaPerSecond) {
     Double previous = quotaPerSecond < 0 ? quotas.remove(name) : quotas.put(name, quotaPerSecond);
     totalQuota += Math.max(0, quotaPerSecond) - (previous == null ? 0 : previous);
@@ -146,7 +146,7 @@
     return summary.toArray();
   }
 
-  /** The quotas of all tenants, in requests a second. */
+  /** The quotas of all tenants, in requests per second. */
   public double totalQuota() {
     return totalQuota;
   }
--- a/proxy/src/main/java/wheattrack/config/DynamicSettingsUpdate.java
+++ b/proxy/src/main/java/wheattrack/config/DynamicSettingsUpdate.java
@@ -10,7 +10,7 @@
  * A validated update of {@link DynamicSettings}.
  *
  * @param requestClasses the changed classes by name, in the update's order; null removes one
- * @param quotas the changed quotas by tenant, in requests a second; a negative one removes the
+ * @param quotas the changed quotas by tenant, in requests per second; a negative one removes the
  *     tenant
  * @param limits all limits that hold after the update
  */
@@ -48,7 +48,7 @@
       String name = entry.text("name");
       if (changed.containsKey(name)) {
         throw new InvalidConfigurationException(
-            entry.key("name"), "expected a unique name, got that of another entry");
+            entry.key("name"), "expected a unique name, got '" + name + "' again");
       }
       boolean isKnown = current.containsKey(name);
       if (entry.flag("gone")) {
@@ -81,7 +81,7 @@
       double quotaPerSecond = PolicySettingsMapper.quotaPerSecond(tenant);
       if (changed.put(name, isRemoved ? REMOVED : quotaPerSecond) != null) {
         throw new InvalidConfigurationException(
-            tenant.key("name"), "expected a unique name, got that of another entry");
+            tenant.key("name"), "expected a unique name, got '" + name + "' again");
       }
       boolean isKnown = current.containsKey(name);
       if (isRemoved && isKnown) {
--- a/proxy/src/main/java/wheattrack/config/Json.java
+++ b/proxy/src/main/java/wheattrack/config/Json.java
@@ -23,10 +23,10 @@
    */
   public static Map<String, Object> object(String text) throws IOException {
     try (JsonParser parser = FACTORY.createParser(text)) {
-      JsonToken first = parser.nextToken();
-      if (first != JsonToken.START_OBJECT) {
+      JsonToken firstToken = parser.nextToken();
+      if (firstToken != JsonToken.START_OBJECT) {
         throw new IOException(
-            "expected a JSON object, got " + (first == null ? "no value" : "another value"));
+            "expected a JSON object, got " + (firstToken == null ? "no value" : "another value"));
       }
       Map<String, Object> object = map(parser);
       if (parser.nextToken() != null) {
--- a/proxy/src/main/java/wheattrack/config/MigrateCommand.java
+++ b/proxy/src/main/java/wheattrack/config/MigrateCommand.java
@@ -131,7 +131,8 @@
     try {
       return value == null ? null : Integer.valueOf(value);
     } catch (NumberFormatException e) {
-      throw new InvalidConfigurationException("--" + name, "expected a whole number, got " + value);
+      throw new InvalidConfigurationException(
+          "--" + name, "expected a whole number, got '" + value + "'");
     }
   }
 
@@ -146,7 +147,7 @@
             () ->
                 new InvalidConfigurationException(
                     "--reports",
-                    "expected one of " + LoadReportMode.KEYWORDS + ", got " + keyword));
+                    "expected one of " + LoadReportMode.KEYWORDS + ", got '" + keyword + "'"));
   }
 
   private static String toJson(Map<String, Object> configuration, Path oldFile) {
--- a/proxy/src/main/java/wheattrack/config/OperatorConfig.java
+++ b/proxy/src/main/java/wheattrack/config/OperatorConfig.java
@@ -35,19 +35,19 @@
   /** The defaults, as the text of an operators' file. */
   public static final String DEFAULTS =
       """
-# What the operators of an installation switch on. Each key stands here with its default.
+# Optional features that the operators of an installation switch on. Each key has its default here.
 
 [log]
-format = "plain"              # or "json": an object a line
-lines-per-second = 0          # an event's, the rest is counted; 0: all
-reqs = false                  # a line for each dispatch's outcome and each req's end, by its id
+format = "plain"              # or "json": one JSON object per line
+lines-per-second = 0          # the most lines of one event per second, others are counted; 0: no limit
+reqs = false                  # a line for each attempt's outcome and each request's end, with its id
 
 [reports]
-answers-header = ""           # of a backend's answers, its load as a JSON object; "": none carries it
+answers-header = ""           # header of responses with the load of a backend as a JSON object; "": none
 
 [settings]
-source = ""                   # address in figures of a source whose settings are watched; "": none is
-scope = ""                    # names that go with requests for settings and list, by commas; "": all
+source = ""                   # numeric IP address and port of a settings source to watch; "": none
+scope = ""                    # names for requests of settings and endpoints, with commas between; "": all
 """;
 
   private static final String HEADER_NAME = "[A-Za-z0-9-]{0,64}";
@@ -117,7 +117,9 @@
       throw section.fault(
           "scope",
           "expected at most 256 names separated by commas,"
-              + " each of 1 to 64 letters, digits, '.', '_' and '-'");
+              + " each of 1 to 64 letters, digits, '.', '_' and '-', got '"
+              + scope
+              + "'");
     }
     return scope;
   }
--- a/proxy/src/main/java/wheattrack/config/PolicySettingsMapper.java
+++ b/proxy/src/main/java/wheattrack/config/PolicySettingsMapper.java
@@ -83,7 +83,7 @@
     return policySettings(settings, zones, totalQuota);
   }
 
-  /** The quota of one entry of `tenants`, in requests a second. */
+  /** The quota of one entry of `tenants`, in requests per second. */
   static double quotaPerSecond(JsonObjectReader tenant) {
     return tenant.number(QUOTA, 0);
   }
@@ -92,7 +92,7 @@
    * The policy's settings, with a total quota that is known from elsewhere.
    *
    * @param zones the zones in the order in which the endpoint list numbers them
-   * @param totalQuota the quota of all tenants, in requests a second
+   * @param totalQuota the quota of all tenants, in requests per second
    */
   public static PolicySettings policySettings(Settings settings, List<?> zones, double totalQuota) {
     PolicySettings.AttemptLimits attempts = attemptLimits(settings);
@@ -116,10 +116,10 @@
 
   private static PolicySettings.Zones ownZone(Settings settings, List<?> zones) {
     int index = settings.zoneIndex();
-    List<?> ownZones = settings.zones();
-    boolean isNamed = index >= 0 && index < ownZones.size();
+    List<?> configuredZones = settings.zones();
+    boolean isNamed = index >= 0 && index < configuredZones.size();
     return new PolicySettings.Zones(
-        isNamed ? zones.indexOf(ownZones.get(index)) : index,
+        isNamed ? zones.indexOf(configuredZones.get(index)) : index,
         settings.number("prices.crossZone", 0));
   }
 
--- a/proxy/src/main/java/wheattrack/config/ProxyConfig.java
+++ b/proxy/src/main/java/wheattrack/config/ProxyConfig.java
@@ -103,7 +103,7 @@
     check(
         DeploymentShape.KEYWORDS.contains(shape),
         "shape",
-        "expected one of " + DeploymentShape.KEYWORDS);
+        "expected one of " + DeploymentShape.KEYWORDS + ", got '" + shape + "'");
   }
 
   private static long readSeed(JsonObjectReader root) {
@@ -187,7 +187,8 @@
             check(
                 present.get(key) instanceof Map,
                 path,
-                "expected an object, as in the running configuration");
+                "expected an object, as in the running configuration, got "
+                    + JsonObjectReader.typeName(present.get(key), "an object"));
             checkHasKeys(section, (Map<?, ?>) present.get(key), path + ".");
           }
         });
@@ -195,10 +196,10 @@
 
   /** The keys that differ from the running configuration and take effect only at a start. */
   public List<String> changedFixedKeys(ProxyConfig running) {
-    JsonObjectReader own = new JsonObjectReader(values);
-    JsonObjectReader other = new JsonObjectReader(running.values);
+    JsonObjectReader thisRoot = new JsonObjectReader(values);
+    JsonObjectReader runningRoot = new JsonObjectReader(running.values);
     return FIXED_KEYS.stream()
-        .filter(key -> !Objects.equals(own.any(key), other.any(key)))
+        .filter(key -> !Objects.equals(thisRoot.any(key), runningRoot.any(key)))
         .toList();
   }
 
--- a/proxy/src/main/java/wheattrack/config/SettingsValidator.java
+++ b/proxy/src/main/java/wheattrack/config/SettingsValidator.java
@@ -65,7 +65,7 @@
       check(
           names.add(entry.text("name")),
           entry.key("name"),
-          "expected a unique name, got that of another entry");
+          "expected a unique name, got '" + entry.text("name") + "' again");
       checkRequestClass(entry);
     }
   }
@@ -84,7 +84,10 @@
 
   private static void checkKeyword(
       JsonObjectReader object, String path, String keyword, List<String> allowed) {
-    check(allowed.contains(keyword), object.key(path), "expected one of " + allowed);
+    check(
+        allowed.contains(keyword),
+        object.key(path),
+        "expected one of " + allowed + ", got '" + keyword + "'");
   }
 
   private static void checkPositiveTime(JsonObjectReader entry, String key) {
@@ -116,10 +119,11 @@
 
   /** Rejects rules that are no longer supported, rather than ignoring them. */
   private static void checkRemovedRules(Settings settings) {
+    double budgetSpan = settings.number("rules.budgetSpan", 0);
     check(
-        settings.number("rules.budgetSpan", 0) == 0,
+        budgetSpan == 0,
         settings.key("rules.budgetSpan"),
-        "expected 0, as retries and hedged requests no longer have a budget");
+        "expected 0, as retries and hedged requests no longer have a budget, got " + budgetSpan);
     check(
         !settings.flag("rules.goneIsAdvice"),
         settings.key("rules.goneIsAdvice"),
