--- a/proxy/src/test/java/wheattrack/net/ClientDisconnectTest.java
+++ b/proxy/src/test/java/wheattrack/net/ClientDisconnectTest.java
@@ -49,10 +49,10 @@
 
   private static final int FLOOD_BYTES = 300_000;
 
-  /** A body that is too long to be kept for a retry, in bytes. */
+  /** The length of a body that is too long to be kept for a retry. */
   private static final int LONG_BODY_BYTES = 200_000;
 
-  /** A body that is too long to be read ahead completely, in bytes. */
+  /** The length of a body that is too long to be read ahead completely. */
   private static final int HUGE_BODY_BYTES = 1_700_000;
 
   /** How long after a disconnect attempts may still begin. */
@@ -105,7 +105,7 @@
     String text = request("buy");
     sendWithExtraBytes(client, text, wait, extraBytes);
     if (wait != Wait.BODY || extraBytes == ExtraBytes.PART_OF_BODY) {
-      await("in flight", () -> metric("in_flight") == (otherClient == null ? 1 : 2));
+      await("the request is in flight", () -> metric("in_flight") == (otherClient == null ? 1 : 2));
     }
     holdRequest(wait, extraBytes);
     disconnect(client, isReset ? Disconnection.RST : Disconnection.FIN);
@@ -156,10 +156,10 @@
       if (extraBytes != ExtraBytes.PART_OF_BODY && extraBytes != ExtraBytes.COMPLETE_BODY) {
         readRequest(heldSocket); // otherwise its body is incomplete
       }
-      ServerSocket second = addSecondBackend(true);
+      ServerSocket secondListener = addSecondBackend(true);
       rejectAsNotStarted(heldSocket);
       answerAll(listener);
-      listener = second;
+      listener = secondListener;
     } else if (wait == Wait.LOAD_PROBE
         || wait == Wait.BODY && extraBytes == ExtraBytes.PART_OF_BODY) {
       heldSocket = accept(listener);
@@ -224,16 +224,16 @@
     Socket client = connect();
     String text = request("buy");
     send(client, text);
-    await("in flight", () -> metric("in_flight") == (otherClient == null ? 1 : 2));
+    await("the request is in flight", () -> metric("in_flight") == (otherClient == null ? 1 : 2));
     switch (attempt) {
       case SECOND -> listener = rejectFirstAttempt(true);
       case THIRD -> {
-        ServerSocket second = rejectFirstAttempt(false);
-        Socket secondSocket = accept(second);
+        ServerSocket secondListener = rejectFirstAttempt(false);
+        Socket secondSocket = accept(secondListener);
         readRequest(secondSocket);
         fillAcceptQueue(listener);
         rejectAsNotStarted(secondSocket);
-        await("two attempts", () -> metric("attempts") == 2);
+        await("two attempts are counted", () -> metric("attempts") == 2);
         Thread.sleep(GRACE_MILLIS);
       }
       case HEDGED, AFTER_LOAD_PROBE -> heldSocket = accept(listener);
@@ -254,7 +254,7 @@
       startThread(() -> answerAll(heldSocket));
     }
     if (disconnection == Disconnection.STAYS) {
-      await("forwarded", () -> receivedIds.contains(requestId(text)));
+      await("the request is forwarded", () -> receivedIds.contains(requestId(text)));
     } else {
       Thread.sleep(SYN_RETRY_MILLIS); // the SYN of a late connection is retransmitted after 1 s
       assertNotReceived(text);
@@ -285,22 +285,22 @@
 
   /** Adds a second backend to the endpoint list, whose accept queue is full or has space. */
   private ServerSocket addSecondBackend(boolean isQueueFull) throws Exception {
-    ServerSocket second = listenWithoutAccepting(isQueueFull ? 1 : BACKLOG);
+    ServerSocket secondListener = listenWithoutAccepting(isQueueFull ? 1 : BACKLOG);
     if (isQueueFull) {
-      fillAcceptQueue(second);
+      fillAcceptQueue(secondListener);
     }
-    endpointList.send(listLine(2, false, endpoint("s1", "SERVING", second.getLocalPort())));
+    endpointList.send(listLine(2, false, endpoint("s1", "SERVING", secondListener.getLocalPort())));
     await("the second backend is known", () -> metric("backends_known") == 2);
-    return second;
+    return secondListener;
   }
 
   /** Rejects the first attempt as not started, once a second backend is known for the retry. */
   private ServerSocket rejectFirstAttempt(boolean isQueueFull) throws Exception {
     heldSocket = accept(listener);
     readRequest(heldSocket);
-    ServerSocket second = addSecondBackend(isQueueFull);
+    ServerSocket secondListener = addSecondBackend(isQueueFull);
     rejectAsNotStarted(heldSocket);
-    return second;
+    return secondListener;
   }
 
   /** Answers that the request was not started, so that it is retried at another backend. */
@@ -343,7 +343,7 @@
         disconnectedIds.add(requestId(text));
       }
     }
-    await("in flight", () -> metric("in_flight") > 0);
+    await("a request is in flight", () -> metric("in_flight") > 0);
     for (Socket client : disconnectingClients) {
       disconnect(
           client,
@@ -359,7 +359,8 @@
         Set.of(),
         List.copyOf(receivedIds).stream()
             .filter(disconnectedIds::contains)
-            .collect(Collectors.toSet()));
+            .collect(Collectors.toSet()),
+        "forwarded requests of disconnected clients");
   }
 
   /**
@@ -377,7 +378,7 @@
     String text = withLongBody(request("buy"), HUGE_BODY_BYTES);
     send(client, text);
     Thread writer = startThread(() -> client.getOutputStream().write(new byte[HUGE_BODY_BYTES]));
-    await("in flight", () -> metric("in_flight") == 1);
+    await("the request is in flight", () -> metric("in_flight") == 1);
     if (isDisconnecting) {
       writer.join(TIMEOUT_MILLIS);
       client.close();
@@ -388,7 +389,7 @@
       Thread.sleep(SYN_RETRY_MILLIS);
       assertNotReceived(text);
     } else {
-      await("received completely", () -> receivedIds.contains(requestId(text)));
+      await("the request is received completely", () -> receivedIds.contains(requestId(text)));
     }
   }
 }
--- a/proxy/src/test/java/wheattrack/net/ConcurrentEventsTest.java
+++ b/proxy/src/test/java/wheattrack/net/ConcurrentEventsTest.java
@@ -34,19 +34,19 @@
   void surplusAnswerIsNotTakenForTheNextRequest() throws Exception {
     startProxyWithOneBackend("\"dialTimeout\":250000", "\"dialTimeout\":20000000");
     try (Socket client = connect()) {
-      Socket first = sendAndAccept(client, request("buy"), firstListener);
-      writeAnswer(first, "200", "", "its own");
+      Socket firstSocket = sendAndAccept(client, request("buy"), firstListener);
+      writeAnswer(firstSocket, "200", "", "its own");
       assertEquals("200 its own", readAnswer(client));
       String nextRequest = request("buy");
       send(client, nextRequest);
       await(
-          "in flight",
+          "the request is in flight",
           () -> metric("in_flight") == 1); // on the first connection, which is reused immediately
-      writeAnswer(first, "200", "", "surplus");
-      Socket second = accept(firstListener);
-      assertEquals(requestId(nextRequest), readRequest(second));
-      assertEquals("end", readRequest(first));
-      writeAnswer(second, "200", "", "its own, too");
+      writeAnswer(firstSocket, "200", "", "surplus");
+      Socket secondSocket = accept(firstListener);
+      assertEquals(requestId(nextRequest), readRequest(secondSocket));
+      assertEquals("end", readRequest(firstSocket));
+      writeAnswer(secondSocket, "200", "", "its own, too");
       assertEquals("200 its own, too", readAnswer(client));
     }
   }
@@ -54,26 +54,27 @@
   /** A backend closes an idle connection before or after the next request is assigned to it. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void requestIsAnsweredAlthoughItsIdleConnectionCloses(boolean isEndFirst) throws Exception {
+  void requestIsAnsweredAlthoughItsIdleConnectionCloses(boolean isClosedBeforeRequest)
+      throws Exception {
     startProxyWithOneBackend();
     try (Socket client = connect()) {
-      Socket first = sendAndAccept(client, request("pay"), firstListener);
-      writeAnswer(first, "200", "", "one");
+      Socket firstSocket = sendAndAccept(client, request("pay"), firstListener);
+      writeAnswer(firstSocket, "200", "", "one");
       assertEquals("200 one", readAnswer(client));
       Thread.sleep(50); // by then the connection is idle
       LoopPause pause = pauseLoopInReload(config);
       String nextRequest = request("pay");
-      if (isEndFirst) {
-        first.close();
+      if (isClosedBeforeRequest) {
+        firstSocket.close();
       }
       send(client, nextRequest);
       Thread.sleep(50); // by then the loop can read both, the request first
-      first.close();
+      firstSocket.close();
       Thread.sleep(50);
       pause.release();
-      Socket second = accept(firstListener);
-      assertEquals(requestId(nextRequest), readRequest(second));
-      writeAnswer(second, "200", "", "two");
+      Socket secondSocket = accept(firstListener);
+      assertEquals(requestId(nextRequest), readRequest(secondSocket));
+      writeAnswer(secondSocket, "200", "", "two");
       assertEquals("200 two", readAnswer(client));
     }
   }
@@ -86,16 +87,16 @@
   void reloadWithShorterIdleTimeoutClosesIdleConnections() throws Exception {
     startProxyWithOneBackend();
     call(answeredOnNewConnection(request("buy")));
-    Socket first = heldSocket;
+    Socket firstSocket = heldSocket;
     Thread.sleep(100);
     Path file =
         Files.writeString(
             folder.resolve("config.json"),
             config.replace("\"idleClose\":30000000", "\"idleClose\":50000"));
     server.reload(file);
-    assertEquals("end", readRequest(first));
+    assertEquals("end", readRequest(firstSocket));
     assertEquals("200 played", call(answeredOnNewConnection(request("buy"))));
-    assertNotEquals(first, heldSocket);
+    assertNotEquals(firstSocket, heldSocket);
   }
 
   /**
@@ -120,7 +121,7 @@
   void busyConnectionOfAMovedBackendClosesAfterItsAnswer(boolean isRestart) throws Exception {
     startProxyWithOneBackend();
     try (Socket client = connect()) {
-      Socket first = sendAndAccept(client, request("buy"), firstListener);
+      Socket firstSocket = sendAndAccept(client, request("buy"), firstListener);
       String endpoint =
           endpoint("s0", "SERVING", (isRestart ? firstListener : secondListener).getLocalPort());
       if (isRestart) {
@@ -130,9 +131,9 @@
       endpointList.send(
           listLine(2, false, endpoint, endpoint("s1", "DRAINING", secondListener.getLocalPort())));
       await("the endpoint list is applied", () -> metric("backends_known") == 2);
-      writeAnswer(first, "200", "", "old");
+      writeAnswer(firstSocket, "200", "", "old");
       assertEquals("200 old", readAnswer(client));
-      assertEquals("end", readRequest(first));
+      assertEquals("end", readRequest(firstSocket));
       answerAll(isRestart ? firstListener : secondListener);
       callUntilAnsweredOrFail(client);
     }
@@ -144,7 +145,7 @@
     startProxyWithFullAcceptQueue();
     try (Socket client = connect()) {
       send(client, request("pay"));
-      await("in flight", () -> metric("in_flight") == 1);
+      await("the request is in flight", () -> metric("in_flight") == 1);
       endpointList.send(
           listLine(2, false, endpoint("s0", "SERVING", secondListener.getLocalPort())));
       Socket moved = accept(secondListener);
@@ -163,7 +164,7 @@
     try (Socket client = connect()) {
       String text = request("pay");
       send(client, text);
-      await("in flight", () -> metric("in_flight") == 1);
+      await("the request is in flight", () -> metric("in_flight") == 1);
       endpointList.send(listLine(2, false, endpoint.replace("SERVING", "DRAINING")));
       assertEquals("503", readAnswer(client).substring(0, 3));
       if (isListedAgain) {
@@ -182,16 +183,16 @@
   void malformedAnswersAffectNoOtherRequest() throws Exception {
     startProxyWithOneBackend("\"dialTimeout\":250000", "\"dialTimeout\":20000");
     try (Socket client = connect()) {
-      Socket first = sendAndAccept(client, request("buy"), firstListener);
-      String own = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown";
-      send(first, own + own.replace("own", "bad"));
+      Socket firstSocket = sendAndAccept(client, request("buy"), firstListener);
+      String ownAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown";
+      send(firstSocket, ownAnswer + ownAnswer.replace("own", "bad"));
       assertEquals("200 own", readAnswer(client));
-      assertEquals("end", readRequest(first).replace("reset", "end"));
-      Socket second = sendAndAccept(client, request("pay"), firstListener);
+      assertEquals("end", readRequest(firstSocket).replace("reset", "end"));
+      Socket secondSocket = sendAndAccept(client, request("pay"), firstListener);
       startThread(
           () -> {
             while (true) {
-              send(second, "HTTP/1.1 102 Processing\r\n\r\n".repeat(50));
+              send(secondSocket, "HTTP/1.1 102 Processing\r\n\r\n".repeat(50));
             }
           });
       assertEquals("50", readAnswer(client).substring(0, 2));
@@ -207,12 +208,13 @@
     try (Socket client = connect()) {
       String text = request("pay");
       send(client, text);
-      await("in flight", () -> metric("in_flight") == 1);
+      await("the request is in flight", () -> metric("in_flight") == 1);
       LoopPause pause = pauseLoopInReload(config);
       answerAll(firstListener); // the SYN is retransmitted a second after the first one
       Thread.sleep(PAST_DEADLINE_MILLIS);
       pause.release();
-      assertTrue(readAnswer(client).startsWith("50"));
+      String answer = readAnswer(client);
+      assertTrue(answer.startsWith("50"), "expected a status from 500 to 509, got " + answer);
       callUntilAnswered();
       assertNotReceived(text);
     }
@@ -225,13 +227,13 @@
     String text = request("pay");
     Socket client = connect();
     send(client, text);
-    Socket first = accept(firstListener);
-    assertEquals(requestId(text), readRequest(first));
+    Socket firstSocket = accept(firstListener);
+    assertEquals(requestId(text), readRequest(firstSocket));
     client.close();
     await("the disconnect is detected", () -> metric("in_flight") == 0);
     assertEquals("409 a request with this Request-Id is open", call(text));
     assertEquals(1, metric("attempts"));
-    writeAnswer(first, "200", "", "late");
+    writeAnswer(firstSocket, "200", "", "late");
   }
 
   /** A client disconnects while the event loop is paused, before its request is read. */
@@ -266,11 +268,12 @@
         client,
         request("pay").replace("Content-Length: 2\r\n\r\nhi", "Content-Length: 200000\r\n\r\n"));
     client.getOutputStream().write(new byte[50_000]);
-    Socket first = accept(firstListener);
-    readHead(first.getInputStream());
-    first.getInputStream().readNBytes(40_000);
+    Socket firstSocket = accept(firstListener);
+    readHead(firstSocket.getInputStream());
+    firstSocket.getInputStream().readNBytes(40_000);
     client.close();
-    assertTrue(first.getInputStream().readAllBytes().length < 20_000);
+    int restBytes = firstSocket.getInputStream().readAllBytes().length;
+    assertTrue(restBytes < 20_000, "expected less than 20000 further bytes, got " + restBytes);
     assertEquals(0, metric("attempts"));
   }
 
--- a/proxy/src/test/java/wheattrack/net/DiscoveryRecoveryTest.java
+++ b/proxy/src/test/java/wheattrack/net/DiscoveryRecoveryTest.java
@@ -70,15 +70,15 @@
    * take its port while the port is closed.
    */
   private final class Discovery {
-    private final Failure first;
-    private final Failure second;
+    private final Failure firstFailure;
+    private final Failure secondFailure;
     private final InetSocketAddress address;
     private ServerSocket listener;
     private volatile Failure currentFailure;
 
-    Discovery(int number, Failure first, Failure second) throws IOException {
-      this.first = first;
-      this.second = second;
+    Discovery(int number, Failure firstFailure, Failure secondFailure) throws IOException {
+      this.firstFailure = firstFailure;
+      this.secondFailure = secondFailure;
       InetAddress host = InetAddress.getByName("127.0.43." + (1 + number));
       try (ServerSocket free = new ServerSocket(0, BACKLOG, host)) {
         address = (InetSocketAddress) free.getLocalSocketAddress();
@@ -86,9 +86,9 @@
     }
 
     void run(long recoveryTime) throws Exception {
-      switchTo(first);
+      switchTo(firstFailure);
       sleepUntil(SECOND_FAILURE_MILLIS);
-      switchTo(second);
+      switchTo(secondFailure);
       sleepUntil(recoveryTime);
       switchTo(null);
     }
@@ -145,9 +145,10 @@
   }
 
   /** Runs one proxy, and records a late case if its backend is not known in time. */
-  private void runCase(int number, Failure first, Failure second, long askEvery, long recoveryTime)
+  private void runCase(
+      int number, Failure firstFailure, Failure secondFailure, long askEvery, long recoveryTime)
       throws Exception {
-    Discovery discovery = new Discovery(number, first, second);
+    Discovery discovery = new Discovery(number, firstFailure, secondFailure);
     Thread discoveryThread =
         new Thread(
             () -> {
@@ -181,9 +182,9 @@
     }
     if (elapsedMillis() >= recoveryTime + LIST_TIMEOUT_MILLIS) {
       lateCases.add(
-          first
+          firstFailure
               + ", "
-              + second
+              + secondFailure
               + ", askEvery "
               + askEvery
               + " ms, recovered after "
@@ -202,8 +203,8 @@
   @Test
   void listIsKnownWithinSixSecondsOfTheRecovery() throws Exception {
     List<Thread> cases = new ArrayList<>();
-    for (Failure first : Failure.values()) {
-      for (Failure second : Failure.values()) {
+    for (Failure firstFailure : Failure.values()) {
+      for (Failure secondFailure : Failure.values()) {
         for (long askEvery : new long[] {10_000, 60_000}) {
           int number = cases.size();
           long recoveryTime =
@@ -213,7 +214,7 @@
               new Thread(
                   () -> {
                     try {
-                      runCase(number, first, second, askEvery, recoveryTime);
+                      runCase(number, firstFailure, secondFailure, askEvery, recoveryTime);
                     } catch (Exception e) {
                       errors.add(e);
                     }
--- a/proxy/src/test/java/wheattrack/net/IdleConnectionsTest.java
+++ b/proxy/src/test/java/wheattrack/net/IdleConnectionsTest.java
@@ -179,6 +179,7 @@
     }
 
     private void connectIdleClients() throws Exception {
+      // one and a half times as many as the proxy accepts or has descriptors
       int clientCount =
           pattern == Pattern.INCOMPLETE_HEAD ? clientCapacity() * 3 / 2 : maxSockets * 3 / 2;
       List<Socket> sockets = new ArrayList<>();
--- a/proxy/src/test/java/wheattrack/net/JitWarmUpTest.java
+++ b/proxy/src/test/java/wheattrack/net/JitWarmUpTest.java
@@ -29,6 +29,6 @@
   @Test
   void runsTheGivenNumberOfRequests() throws Exception {
     int requests = new JitWarmUp(settings()).run(50, ONE_MINUTE_NANOS);
-    assertTrue(requests >= 50 && requests < 60, requests + " requests");
+    assertTrue(requests >= 50 && requests < 60, "expected 50 to 59 requests, got " + requests);
   }
 }
--- a/proxy/src/test/java/wheattrack/net/LargeBodiesTest.java
+++ b/proxy/src/test/java/wheattrack/net/LargeBodiesTest.java
@@ -371,7 +371,7 @@
     List<Thread> clients = new ArrayList<>();
     Map<String, String> answers = new ConcurrentHashMap<>();
     Map<String, Boolean> isRepeatable = new ConcurrentHashMap<>();
-    String wholeAnswer = "200 " + checksum(randomBytes(2 * MEGABYTE, MEGABYTE), 2);
+    String completeAnswer = "200 " + checksum(randomBytes(2 * MEGABYTE, MEGABYTE), 2);
     for (int i = 0; i < 60; i++) {
       String id = "c" + i;
       byte[] body = randomBytes(i, 65_537 + random.nextInt(2 * MEGABYTE));
@@ -397,7 +397,9 @@
                     long millis = (System.nanoTime() - startedAt) / 1_000_000;
                     answers.put(
                         id,
-                        answer.equals(wholeAnswer) ? answer : answer + " after " + millis + " ms");
+                        answer.equals(completeAnswer)
+                            ? answer
+                            : answer + " after " + millis + " ms");
                   } else if (bytesSent == body.length) {
                     socket.getInputStream().readNBytes(bytesRead);
                   }
@@ -407,8 +409,8 @@
     for (Thread client : clients) {
       client.join(20_000);
     }
-    assertAnswersAreAllowed(answers, wholeAnswer, isRepeatable);
-    answers.values().removeIf(answer -> !answer.equals(wholeAnswer));
+    assertAnswersAreAllowed(answers, completeAnswer, isRepeatable);
+    answers.values().removeIf(answer -> !answer.equals(completeAnswer));
     answers
         .keySet()
         .forEach(
@@ -424,15 +426,17 @@
   }
 
   private void assertAnswersAreAllowed(
-      Map<String, String> answers, String wholeAnswer, Map<String, Boolean> isRepeatable) {
-    long whole = answers.values().stream().filter(wholeAnswer::equals).count();
-    assertTrue(whole > 10, whole + " complete answers, expected more than 10: " + answers);
+      Map<String, String> answers, String completeAnswer, Map<String, Boolean> isRepeatable) {
+    long completeCount = answers.values().stream().filter(completeAnswer::equals).count();
+    assertTrue(
+        completeCount > 10,
+        "expected more than 10 complete answers, got " + completeCount + ": " + answers);
     answers.forEach(
         (id, answer) -> {
-          boolean hasNotRun = isRepeatable.get(id) || !receivedBodies.containsKey(id);
-          boolean isAllowedRejection = answer.startsWith("503 0/0 ") && hasNotRun;
+          boolean mayBeRejected = isRepeatable.get(id) || !receivedBodies.containsKey(id);
+          boolean isAllowedRejection = answer.startsWith("503 0/0 ") && mayBeRejected;
           assertTrue(
-              answer.equals(wholeAnswer) || isAllowedRejection, "request " + id + ": " + answer);
+              answer.equals(completeAnswer) || isAllowedRejection, "request " + id + ": " + answer);
         });
   }
 }
--- a/proxy/src/test/java/wheattrack/net/ProcessHandoverTest.java
+++ b/proxy/src/test/java/wheattrack/net/ProcessHandoverTest.java
@@ -43,7 +43,7 @@
     ProxyServer proxy = new ProxyServer(new ProxyConfig(Json.object(config)));
     startThread(proxy::run);
     for (int i = 0; readAdminStatus(proxy) != 200; i++) {
-      assertTrue(i < READY_POLLS, "not ready within 6 s");
+      assertTrue(i < READY_POLLS, "the proxy is not ready within 6 s");
       Thread.sleep(READY_POLL_MILLIS);
     }
     return proxy;
@@ -118,7 +118,12 @@
     }
     assertTrue(
         requestsNotServed.get() <= REPLACEMENTS / 2,
-        requestsNotServed + " of " + requestsDone + " requests not served");
+        "expected at most "
+            + REPLACEMENTS / 2
+            + " requests not served, got "
+            + requestsNotServed
+            + " of "
+            + requestsDone);
   }
 
   /** The same with separate processes, which together use at most 256 descriptors. */
@@ -141,7 +146,9 @@
         peakDescriptors =
             Math.max(peakDescriptors, openDescriptors(current) + openDescriptors(next));
         current.destroy();
-        assertTrue(current.waitFor(5, TimeUnit.SECONDS), "did not end within 5 s of SIGTERM");
+        assertTrue(
+            current.waitFor(5, TimeUnit.SECONDS),
+            "the older process did not end within 5 s of SIGTERM");
         current = next;
         Thread.sleep(30);
         assertTrue(
@@ -167,7 +174,12 @@
             + " descriptors in both processes");
     assertTrue(
         requestsNotServed.get() <= PROCESS_REPLACEMENTS / 2,
-        requestsNotServed + " of " + requestsDone + " requests not served");
+        "expected at most "
+            + PROCESS_REPLACEMENTS / 2
+            + " requests not served, got "
+            + requestsNotServed
+            + " of "
+            + requestsDone);
     assertTrue(peakDescriptors <= 256, "expected at most 256 descriptors, got " + peakDescriptors);
   }
 
@@ -205,7 +217,8 @@
         continue; // the process does not listen yet
       }
     }
-    throw new AssertionError("not ready within 6 s: " + Files.readString(folder.resolve("log")));
+    throw new AssertionError(
+        "the process is not ready within 6 s: " + Files.readString(folder.resolve("log")));
   }
 
   private static long residentKilobytes(Process process) throws IOException {
--- a/proxy/src/test/java/wheattrack/net/SettingsSubscriptionTest.java
+++ b/proxy/src/test/java/wheattrack/net/SettingsSubscriptionTest.java
@@ -32,7 +32,7 @@
   /** How large the oversized settings are, which the proxy rejects. */
   private static final int OVERSIZED_BYTES = 5 << 20;
 
-  /** How long the source stays away at the start, in milliseconds. */
+  /** How long the source is down at the start, in milliseconds. */
   private static final int SOURCE_OUTAGE_MILLIS = 2500;
 
   @TempDir Path folder;
@@ -83,7 +83,7 @@
             + classSettings("b", 900)
             + "]}");
     await("the snapshot is in force", () -> metric("settings_told") > 0);
-    await("ready", this::isReady);
+    await("the proxy is ready", this::isReady);
   }
 
   private boolean isReady() {
@@ -98,7 +98,7 @@
     await(
         "request " + count + " at the source, got " + requestedTargets,
         () -> requestedTargets.size() >= count);
-    await("connection of the request", () -> latestSocket != null);
+    await("the connection of request " + count + " is accepted", () -> latestSocket != null);
   }
 
   private void endWatch() throws IOException {
@@ -169,7 +169,7 @@
   void changesOutOfOrderAreIgnored() throws Exception {
     startProxyWithSource("");
     sendSnapshot();
-    int calls = 1;
+    int requests = 1;
     for (String revision :
         List.of("'rev':6,'after':5", "'rev':2,'after':3", "'rev':4,'after':3,'source':'x'")) {
       Socket previousSocket = latestSocket;
@@ -178,11 +178,11 @@
           previousSocket,
           ("{" + revision + ",'ruleSets':[" + classSettings("c", 500) + "]}").replace('\'', '"')
               + "\n");
-      awaitRequest(++calls);
-      assertEquals("/v1/settings?watch=1", requestedTargets.get(calls - 1));
+      awaitRequest(++requests);
+      assertEquals("/v1/settings?watch=1", requestedTargets.get(requests - 1));
       assertEquals("200 404", statusFor("a") + " " + statusFor("c"));
       sendSettings("{'rev':3,'all':true,'ruleSets':[" + classSettings("a", 900) + "]}");
-      int settingsApplied = calls;
+      int settingsApplied = requests;
       await("the snapshot is in force", () -> metric("settings_told") == settingsApplied);
       assertEquals("200 404", statusFor("a") + " " + statusFor("b"));
     }
@@ -228,7 +228,9 @@
     sendSettings("{'rev':4,'after':3,'ruleSets':[" + classSettings("c", 900) + "]}");
     Thread.sleep(50);
     pause.release();
-    await("both are in force", () -> metric("settings_told") == 2 && metric("reloads_ok") == 1);
+    await(
+        "the file and the change are both in force",
+        () -> metric("settings_told") == 2 && metric("reloads_ok") == 1);
     assertEquals("200 200 404", statusFor("a") + " " + statusFor("c") + " " + statusFor("buy"));
     backends.enqueue(BackendAction.NOT_STARTED_503);
     assertEquals("503", statusFor("c")); // one attempt, by the limits of the reloaded file
@@ -292,14 +294,14 @@
             "",
             address,
             ""));
-    await("ready", this::isReady);
+    await("the proxy is ready", this::isReady);
     assertEquals("200 404", statusFor("buy") + " " + statusFor("a"));
     Thread.sleep(SOURCE_OUTAGE_MILLIS);
     ServerSocket listener = new ServerSocket();
     listener.setReuseAddress(true);
     listener.bind(address, BACKLOG);
     listeners.add(listener);
-    long returnedAt = System.nanoTime();
+    long recoveredAt = System.nanoTime();
     startThread(
         () -> {
           Socket socket = listener.accept();
@@ -308,8 +310,10 @@
           send(socket, HEAD + settings.replace('\'', '"'));
         });
     await("the settings of the source are in force", () -> metric("settings_told") == 1);
-    long elapsedNanos = System.nanoTime() - returnedAt;
-    assertTrue(elapsedNanos < 8e9, "settings applied after " + elapsedNanos + " ns");
+    long elapsedNanos = System.nanoTime() - recoveredAt;
+    assertTrue(
+        elapsedNanos < 8e9,
+        "expected the settings within 8 s, got them after " + elapsedNanos + " ns");
     assertEquals("404 200", statusFor("buy") + " " + statusFor("a"));
   }
 
@@ -319,7 +323,9 @@
     startProxyWithBackends(1);
     assertEquals("200", statusFor("buy"));
     assertEquals(List.of("/v1/endpoints?watch=1"), List.copyOf(observations));
-    assertFalse(observations.stream().anyMatch(target -> target.contains("settings")));
+    assertFalse(
+        observations.stream().anyMatch(target -> target.contains("settings")),
+        "settings requested: " + observations);
   }
 
   /**
@@ -344,7 +350,9 @@
       Thread.sleep(20);
     }
     double elapsedSeconds = (System.nanoTime() - startedAt) / 1e9;
-    assertTrue(elapsedSeconds > 5.5 && elapsedSeconds < 9, "ready after " + elapsedSeconds + " s");
+    assertTrue(
+        elapsedSeconds > 5.5 && elapsedSeconds < 9,
+        "expected readiness after 5.5 to 9 s, got it after " + elapsedSeconds + " s");
     assertEquals("200 SERVING, no list", call("GET /ready HTTP/1.1\r\n\r\n").replace(" close", ""));
   }
 }
--- a/proxy/src/test/java/wheattrack/net/ShutdownEventsTest.java
+++ b/proxy/src/test/java/wheattrack/net/ShutdownEventsTest.java
@@ -46,7 +46,8 @@
     try (Socket client = connect()) {
       send(client, request("buy"));
       startThread(server::shutdown);
-      assertTrue(readAnswer(client).startsWith("503"));
+      String answer = readAnswer(client);
+      assertTrue(answer.startsWith("503"), "expected 503, got " + answer);
     }
   }
 
@@ -92,9 +93,10 @@
           });
       Thread.sleep(500);
       send(client, text.substring(30));
-      Socket unanswered = accept(firstListener);
-      readRequest(unanswered);
-      assertTrue(readAnswer(client).matches("50[24].*"));
+      Socket unansweredSocket = accept(firstListener);
+      readRequest(unansweredSocket);
+      String answer = readAnswer(client);
+      assertTrue(answer.matches("50[24].*"), "expected 502 or 504, got " + answer);
     }
   }
 
@@ -116,7 +118,9 @@
       firstShutdown.join(TIMEOUT_MILLIS);
       secondShutdown.join(TIMEOUT_MILLIS);
       serverThread.join(TIMEOUT_MILLIS);
-      assertFalse(serverThread.isAlive() || firstShutdown.isAlive() || secondShutdown.isAlive());
+      assertFalse(
+          serverThread.isAlive() || firstShutdown.isAlive() || secondShutdown.isAlive(),
+          "the event loop or a shutdown thread is still running");
     }
   }
 
--- a/proxy/src/test/java/wheattrack/net/WatchEventsTest.java
+++ b/proxy/src/test/java/wheattrack/net/WatchEventsTest.java
@@ -46,14 +46,14 @@
   @ValueSource(booleans = {false, true})
   void silentWatchIsReplacedInTime(boolean isDripping) throws Exception {
     List<Long> requestedAt = Collections.synchronizedList(new ArrayList<>());
-    String first = listLine(1, true, startBackend("s0")) + "\n";
+    String firstLine = listLine(1, true, startBackend("s0")) + "\n";
     ServerSocket list =
         listen(
             socket -> {
               readHead(socket.getInputStream());
               requestedAt.add(System.nanoTime());
               int watchNumber = requestedAt.size();
-              send(socket, "HTTP/1.1 200 OK\r\n\r\n" + (watchNumber == 1 ? first : ""));
+              send(socket, "HTTP/1.1 200 OK\r\n\r\n" + (watchNumber == 1 ? firstLine : ""));
               for (int i = 0; watchNumber < 4 && isDripping; i++) {
                 send(socket, i == 0 ? "{" : " ");
                 Thread.sleep(200);
@@ -83,7 +83,7 @@
   @Test
   void endedWatchIsReplacedImmediately() throws Exception {
     CountDownLatch watchesRequested = new CountDownLatch(2);
-    String first = listLine(1, true, startBackend("s0")) + "\n";
+    String firstLine = listLine(1, true, startBackend("s0")) + "\n";
     ServerSocket list =
         listen(
             socket -> {
@@ -92,13 +92,15 @@
               send(
                   socket,
                   "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                      + Integer.toHexString(first.length())
+                      + Integer.toHexString(firstLine.length())
                       + "\r\n"
-                      + first
+                      + firstLine
                       + "\r\n0\r\n\r\n");
               socket.getInputStream().read();
             });
     startProxy(config(list.getLocalPort()), "");
-    assertTrue(watchesRequested.await(2, TimeUnit.SECONDS));
+    assertTrue(
+        watchesRequested.await(2, TimeUnit.SECONDS),
+        "expected a second watch within 2 s, got none");
   }
 }
