--- a/lab/src/main/java/wheattrack/lab/LabOptions.java
+++ b/lab/src/main/java/wheattrack/lab/LabOptions.java
@@ -24,7 +24,8 @@
     private static Setting parse(String text, String form) {
       int equalsSign = text.indexOf('=');
       if (equalsSign <= 0) {
-        throw new InvalidConfigurationException("--set", "expected " + form + ", got " + text);
+        throw new InvalidConfigurationException(
+            "--set", "expected " + form + ", got '" + text + "'");
       }
       return new Setting(text.substring(0, equalsSign), text.substring(equalsSign + 1));
     }
@@ -58,7 +59,7 @@
     String policy = line.getOptionValue("policy", Policies.names().get(0));
     if (!Policies.names().contains(policy)) {
       throw new InvalidConfigurationException(
-          "--policy", "'" + policy + "' is none of " + Policies.names());
+          "--policy", "expected one of " + Policies.names() + ", got '" + policy + "'");
     }
     long seed = seed(line);
     return new ScenarioRunner.RunOptions(
@@ -80,14 +81,14 @@
     Matcher matcher = SEED_RANGE.matcher(text);
     if (!matcher.matches()) {
       throw new InvalidConfigurationException(
-          "--seeds", "expected A-B with numbers of at most 9 digits, got " + text);
+          "--seeds", "expected A-B with numbers of at most 9 digits, got '" + text + "'");
     }
     SeedRange range =
         new SeedRange(
             Long.parseLong(matcher.group("first")), Long.parseLong(matcher.group("last")));
     if (range.first > range.last) {
       throw new InvalidConfigurationException(
-          "--seeds", "expected a last seed not below the first, got " + text);
+          "--seeds", "expected a last seed not below the first, got '" + text + "'");
     }
     return range;
   }
@@ -135,7 +136,7 @@
       return Long.parseLong(text);
     } catch (NumberFormatException e) {
       throw new InvalidConfigurationException(
-          "--" + option, "expected a whole number, got " + text);
+          "--" + option, "expected a whole number, got '" + text + "'");
     }
   }
 }
--- a/lab/src/main/java/wheattrack/lab/scale/ScaleCommand.java
+++ b/lab/src/main/java/wheattrack/lab/scale/ScaleCommand.java
@@ -135,7 +135,8 @@
   private static List<ScaleAxis> selectAxes(List<ScaleAxis> all, ScaleOptions options) {
     if (options.axis == null) {
       if (options.points != null) {
-        throw new InvalidConfigurationException("--points", "given without --axis");
+        throw new InvalidConfigurationException(
+            "--points", "expected only with --axis, got '" + options.points + "' without it");
       }
       return all;
     }
@@ -144,7 +145,11 @@
     if (selected.isEmpty()) {
       throw new InvalidConfigurationException(
           "--axis",
-          "'" + options.axis + "' is none of " + all.stream().map(ScaleAxis::name).toList());
+          "expected one of "
+              + all.stream().map(ScaleAxis::name).toList()
+              + ", got '"
+              + options.axis
+              + "'");
     }
     return selected;
   }
@@ -161,7 +166,8 @@
     try {
       point = Integer.parseInt(text.strip());
     } catch (NumberFormatException e) {
-      throw new InvalidConfigurationException("--points", "not a whole number: '" + text + "'");
+      throw new InvalidConfigurationException(
+          "--points", "expected a whole number, got '" + text + "'");
     }
     if (point < axis.min() || point > axis.max()) {
       throw new InvalidConfigurationException(
--- a/lab/src/main/java/wheattrack/lab/scenario/FaultReader.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/FaultReader.java
@@ -50,7 +50,12 @@
     Fault.Kind kind = kind(section);
     long startsAt = Durations.seconds(section, "at-s", 0, 0, Durations.MAX_SECONDS);
     if (startsAt >= duration) {
-      throw section.fault("at-s", Scenario.toSeconds(startsAt) + " is past the end");
+      throw section.fault(
+          "at-s",
+          "expected less than the run's "
+              + Scenario.toSeconds(duration)
+              + " s, got "
+              + Scenario.toSeconds(startsAt));
     }
     long faultDuration = Durations.seconds(section, "for-s", 0, 0, Durations.MAX_SECONDS);
     Fault.Target target = target(section, kind);
@@ -72,7 +77,9 @@
     }
     if (!kind.isSupported(isVirtual)) {
       String clock = isVirtual ? "virtual" : "real";
-      throw section.fault("kind", kind.keyword() + " can't be played on the " + clock + " clock");
+      throw section.fault(
+          "kind",
+          "expected a kind supported on the " + clock + " clock, got '" + kind.keyword() + "'");
     }
     return kind;
   }
--- a/lab/src/main/java/wheattrack/lab/scenario/ScenarioReader.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/ScenarioReader.java
@@ -233,7 +233,7 @@
   }
 
   private List<Window> windows() {
-    List<Window> found = new ArrayList<>();
+    List<Window> read = new ArrayList<>();
     for (ConfigurationReader section : root.sections("window")) {
       Window window =
           new Window(
@@ -251,9 +251,9 @@
                 + " s, got "
                 + Scenario.toSeconds(window.until()));
       }
-      found.add(window);
+      read.add(window);
     }
-    return List.copyOf(found);
+    return List.copyOf(read);
   }
 
   private List<Expectation> expectations(ConfigurationReader section) {
@@ -262,17 +262,19 @@
       boolean isWindow =
           windows.stream().anyMatch(w -> metric.equals(Metric.WINDOW_PREFIX + w.name()));
       if (!isWindow && !Metric.isKeyword(metric)) {
-        throw section.fault(metric, "unknown figure");
+        throw section.fault(metric, "expected the name of a metric, got '" + metric + "'");
       }
-      String[] parts = section.text(metric).trim().split("\\s+");
+      String condition = section.text(metric);
+      String[] parts = condition.trim().split("\\s+");
       if (parts.length != 2 || !Comparison.signs().contains(parts[0])) {
-        throw section.fault(metric, "not a sign (>=, <=, >, <, =) and a number");
+        throw section.fault(
+            metric, "expected a sign (>=, <=, >, <, =) and a number, got '" + condition + "'");
       }
       try {
         expectations.add(
             new Expectation(metric, Comparison.ofSign(parts[0]), Double.parseDouble(parts[1])));
       } catch (NumberFormatException e) {
-        throw section.fault(metric, "expected a number after the sign, got " + parts[1]);
+        throw section.fault(metric, "expected a number after the sign, got '" + parts[1] + "'");
       }
     }
     return List.copyOf(expectations);
--- a/lab/src/test/java/wheattrack/lab/ScenarioTest.java
+++ b/lab/src/test/java/wheattrack/lab/ScenarioTest.java
@@ -35,18 +35,20 @@
             + ", got 'flood'");
     assertFails(
         "[[fault]]\nkind = \"hang\"\nat-s = 6\n",
-        "small.toml:19: fault[0].at-s: 6.0 is past the end");
+        "small.toml:19: fault[0].at-s: expected less than the run's 6.0 s, got 6.0");
     assertFails("[[fault]]\nat-s = 2\n", "small.toml:17: fault[0].kind: missing");
     assertFails(
         "[[fault]]\nkind = \"stop-proxy\"\nat-s = 2\n",
-        "small.toml:18: fault[0].kind: stop-proxy can't be played on the virtual clock");
+        "small.toml:18: fault[0].kind: expected a kind supported on the virtual clock, got 'stop-proxy'");
     assertFails(
         "[[fault]]\nkind = \"hang\"\nplace = 4\n",
         "small.toml:19: fault[0].place: expected a number from -1.0 to 3.0, got 4.0");
-    assertFails("[expect]\nservce = \">= 1\"\n", "small.toml:18: expect.servce: unknown figure");
+    assertFails(
+        "[expect]\nservce = \">= 1\"\n",
+        "small.toml:18: expect.servce: expected the name of a metric, got 'servce'");
     assertFails(
         "[expect]\nservice = \"about 1\"\n",
-        "small.toml:18: expect.service: not a sign (>=, <=, >, <, =) and a number");
+        "small.toml:18: expect.service: expected a sign (>=, <=, >, <, =) and a number, got 'about 1'");
     assertFails(
         "[list]\nentries-per-second = -1\n",
         "small.toml:18: list.entries-per-second: expected a number from 0.0 to 1.0E9, got -1.0");
