--- a/lab/src/main/java/wheattrack/lab/BenchCommand.java
+++ b/lab/src/main/java/wheattrack/lab/BenchCommand.java
@@ -55,12 +55,12 @@
   /** Runs all measurements and prints their results; takes minutes. */
   static ExitCode run(ScenarioRunner.RunOptions options) throws IOException {
     System.out.println("virtual: 2,300 requests per second for 10 s, on one thread");
-    System.out.println("proxies servers  wall s  µs a req  steps a req  peak MB  service");
+    System.out.println("proxies backends wall s  µs a req  steps a req  peak MB  service");
     for (FleetSize size : SIZES) {
       measureVirtual(size, options.seed());
     }
     System.out.println(
-        "sockets: light requests of 1 ms at 12 servers, 6 s per rate; latencies in ms from the"
+        "sockets: light requests of 1 ms at 12 backends, 6 s per rate; latencies in ms from the"
             + " intended send time");
     System.out.println("                    rate   done/s  late p99      p50      p99    p99.9");
     measureSockets("(warming up)", 3, SocketRun.ProxyOptions.DEFAULT, 1000, options);
--- a/lab/src/main/java/wheattrack/lab/DemoCommand.java
+++ b/lab/src/main/java/wheattrack/lab/DemoCommand.java
@@ -45,13 +45,13 @@
   private static void printIntroduction(Scenario scenario) {
     Fault kill = scenario.faults().get(0);
     System.out.println(
-        "two proxies, six servers, a list and clients on 127.0.0.1: "
+        "two proxies, six backends, a list and clients on 127.0.0.1: "
             + Verdict.format(scenario.load().rate())
-            + " reqs a second for "
+            + " requests per second for "
             + scenario.duration() / Scenario.SECOND
             + " s;");
     System.out.println(
-        "server 0 is killed at "
+        "backend 0 is killed at "
             + kill.startsAt() / Scenario.SECOND
             + " s and comes back cold "
             + kill.duration() / Scenario.SECOND
@@ -76,17 +76,17 @@
   private static String remark(Fault kill, int second) {
     long killedAt = kill.startsAt() / Scenario.SECOND;
     if (second == killedAt) {
-      return "  server 0 is killed";
+      return "  backend 0 is killed";
     }
     boolean isBack = second == killedAt + kill.duration() / Scenario.SECOND;
-    return isBack ? "  server 0 is back, cold" : "";
+    return isBack ? "  backend 0 is back, cold" : "";
   }
 
   private static void printProxy(int index, ProxyTotals totals) {
     System.out.printf(
         Locale.ROOT,
-        "proxy %d received %d reqs: %d done, %d denied, %d aborted; attempts "
-            + "at each server (by index) %s%n",
+        "proxy %d received %d requests: %d done, %d denied, %d aborted; attempts "
+            + "at each backend (by index) %s%n",
         index,
         totals.accepted(),
         totals.answers(Answer.DONE),
--- a/lab/src/main/java/wheattrack/lab/LabMain.java
+++ b/lab/src/main/java/wheattrack/lab/LabMain.java
@@ -119,10 +119,10 @@
   private static ExitCode soak(CommandLine line) throws IOException {
     LabOptions.SeedRange seeds = LabOptions.seedRange(line);
     try {
-      boolean areRulesKept =
+      boolean areAllRulesMet =
           SoakCommand.run(
               ScenarioCatalog.home(), LabOptions.proxyJar(line), seeds.first(), seeds.last());
-      return areRulesKept ? ExitCode.SUCCESS : ExitCode.EXPECTATION_NOT_MET;
+      return areAllRulesMet ? ExitCode.SUCCESS : ExitCode.EXPECTATION_NOT_MET;
     } catch (InterruptedException e) {
       throw new IOException("interrupted while a soak was running", e);
     }
--- a/lab/src/main/java/wheattrack/lab/load/ArrivalProcess.java
+++ b/lab/src/main/java/wheattrack/lab/load/ArrivalProcess.java
@@ -23,7 +23,7 @@
 
   private double lastArrival;
   private double phaseEnd;
-  private boolean inBurst;
+  private boolean isInBurst;
   private double rateFactor = 1;
 
   /** Creates a process that starts at time 0. */
@@ -87,9 +87,10 @@
    */
   private boolean isBurstAt(double time) {
     while (time >= phaseEnd) {
-      inBurst = !inBurst;
-      phaseEnd += random.nextExponential(load.period() * (inBurst ? BURST_SHARE : 1 - BURST_SHARE));
+      isInBurst = !isInBurst;
+      phaseEnd +=
+          random.nextExponential(load.period() * (isInBurst ? BURST_SHARE : 1 - BURST_SHARE));
     }
-    return inBurst;
+    return isInBurst;
   }
 }
--- a/lab/src/main/java/wheattrack/lab/model/ClientOperation.java
+++ b/lab/src/main/java/wheattrack/lab/model/ClientOperation.java
@@ -10,9 +10,9 @@
   private final RequestPlan plan;
   private final int zone;
   private int attempts;
-  private boolean ended;
-  private boolean disconnected;
-  private ClientRequest pending;
+  private boolean hasEnded;
+  private boolean isDisconnected;
+  private ClientRequest pendingRequest;
 
   ClientOperation(long id, long startedAt, RequestPlan plan, int zone) {
     this.id = id;
@@ -53,34 +53,34 @@
 
   /** Whether it has succeeded or its client has disconnected. */
   boolean hasEnded() {
-    return ended;
+    return hasEnded;
   }
 
   void succeed() {
-    ended = true;
+    hasEnded = true;
   }
 
   /** Whether its client has disconnected. */
   boolean isDisconnected() {
-    return disconnected;
+    return isDisconnected;
   }
 
   void disconnect() {
-    ended = true;
-    disconnected = true;
-    pending = null;
+    hasEnded = true;
+    isDisconnected = true;
+    pendingRequest = null;
   }
 
   @SuppressWarnings("ReferenceEquality") // each request is an object of its own
   boolean isWaitingFor(ClientRequest request) {
-    return pending == request;
+    return pendingRequest == request;
   }
 
   void waitFor(ClientRequest request) {
-    pending = request;
+    pendingRequest = request;
   }
 
   void stopWaiting() {
-    pending = null;
+    pendingRequest = null;
   }
 }
--- a/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
+++ b/lab/src/main/java/wheattrack/lab/model/EndpointRegistry.java
@@ -28,9 +28,9 @@
   private final RandomStream random;
   private final Map<Integer, EndpointEvent> endpoints = new LinkedHashMap<>();
   private List<EndpointEvent> staleEndpoints = List.of();
-  private boolean down;
-  private boolean stale;
-  private boolean empty;
+  private boolean isDown;
+  private boolean isStale;
+  private boolean isEmpty;
 
   /** Creates a list of all backends of the run, each ready and {@link #LONG_AGO} started. */
   protected EndpointRegistry(RunEnvironment environment) {
@@ -44,10 +44,10 @@
 
   /** The complete list that a proxy would receive now. */
   protected final List<EndpointEvent> snapshot() {
-    if (empty) {
+    if (isEmpty) {
       return List.of();
     }
-    return stale ? staleEndpoints : new ArrayList<>(endpoints.values());
+    return isStale ? staleEndpoints : new ArrayList<>(endpoints.values());
   }
 
   /** Draws the delay of one event on its way to a proxy. */
@@ -57,7 +57,7 @@
 
   /** Whether the list is down, so that nothing is sent. */
   protected final boolean isDown() {
-    return down;
+    return isDown;
   }
 
   /** Sends one change to all proxies that watch the list. */
@@ -77,7 +77,7 @@
     } else {
       endpoints.put(backend, event);
     }
-    if (!down && !stale && !empty) {
+    if (!isDown && !isStale && !isEmpty) {
       publishChange(event);
     }
   }
@@ -87,7 +87,7 @@
    * afterwards receive a snapshot.
    */
   public final void setDown(boolean isDown) {
-    down = isDown;
+    this.isDown = isDown;
     if (isDown) {
       interruptWatches();
     }
@@ -98,17 +98,17 @@
    * became stale.
    */
   public final void setStale(boolean isStale) {
-    stale = isStale;
+    this.isStale = isStale;
     staleEndpoints = new ArrayList<>(endpoints.values());
-    if (!isStale && !down) {
+    if (!isStale && !isDown) {
       publishSnapshot();
     }
   }
 
   /** Makes the list send no entries, or all of them again. */
   public final void setEmpty(boolean isEmpty) {
-    empty = isEmpty;
-    if (!down) {
+    this.isEmpty = isEmpty;
+    if (!isDown) {
       publishSnapshot();
     }
   }
--- a/lab/src/main/java/wheattrack/lab/model/FaultTimeline.java
+++ b/lab/src/main/java/wheattrack/lab/model/FaultTimeline.java
@@ -267,7 +267,8 @@
   /**
    * Starts a backend cold, unless it is up or has collapsed.
    *
-   * @param asReplacement whether it starts under a new id; otherwise it restarts under its old one
+   * @param asReplacement whether it starts under a new id, which no proxy has received before;
+   *     otherwise it restarts under its old id, with a later start time
    */
   private void start(int backendIndex, boolean asReplacement) {
     SimulatedBackend backend = environment.backend(backendIndex);
--- a/lab/src/main/java/wheattrack/lab/model/ProxyHandle.java
+++ b/lab/src/main/java/wheattrack/lab/model/ProxyHandle.java
@@ -11,7 +11,7 @@
   private final RunEnvironment environment;
   private final int index;
   private final int zone;
-  private boolean up;
+  private boolean isUp;
   private int incarnation;
 
   /** Creates a proxy that has not been started; the zone follows from the index. */
@@ -33,7 +33,7 @@
 
   /** Whether its process accepts requests. */
   public final boolean isUp() {
-    return up;
+    return isUp;
   }
 
   /** Changes with each start and kill. */
@@ -46,7 +46,7 @@
 
   /** Kills its process. */
   public final void kill() {
-    up = false;
+    isUp = false;
     incarnation++;
     environment.record(LedgerRecord.proxyChanged(environment.now(), index, false));
     stopProcess();
@@ -62,7 +62,7 @@
 
   /** Must be called once its process accepts requests. */
   protected final void markUp() {
-    up = true;
+    isUp = true;
     environment.record(LedgerRecord.proxyChanged(environment.now(), index, true));
   }
 
--- a/lab/src/main/java/wheattrack/lab/model/SimulatedBackend.java
+++ b/lab/src/main/java/wheattrack/lab/model/SimulatedBackend.java
@@ -42,9 +42,9 @@
   private final JobQueue jobs;
   private final ColdBudget coldBudget;
   private State state = State.DEAD;
-  private boolean draining;
-  private boolean coldStarted;
-  private boolean collapsed;
+  private boolean isDraining;
+  private boolean isColdStarted;
+  private boolean isCollapsed;
   private long startedAt;
   private double failureShare;
   private int incarnation;
@@ -94,12 +94,12 @@
 
   /** Whether it is draining, and so refuses new requests. */
   public boolean isDraining() {
-    return draining;
+    return isDraining;
   }
 
   /** Whether it has collapsed under overload while it was cold; then it never starts again. */
   public boolean isCollapsed() {
-    return collapsed;
+    return isCollapsed;
   }
 
   /** When it last started. */
@@ -109,7 +109,7 @@
 
   /** Whether its last start was a cold one; it may have reached its full speed since. */
   public boolean isColdStarted() {
-    return coldStarted;
+    return isColdStarted;
   }
 
   /**
@@ -143,12 +143,12 @@
    * @param cold whether it is slow at first, as the group's cold speed says
    */
   public void start(boolean cold) {
-    if (collapsed) {
+    if (isCollapsed) {
       return;
     }
-    draining = false;
+    isDraining = false;
     startedAt = environment.now();
-    coldStarted = cold;
+    isColdStarted = cold;
     coldBudget.clear();
     environment.record(LedgerRecord.backendStarted(environment.now(), index, fullCapacity(), cold));
     transitionTo(State.UP);
@@ -160,7 +160,7 @@
 
   /** Its present speed as a fraction of its full speed. */
   private double speedFactor() {
-    return coldStarted ? group.speedFactorAt(environment.now() - startedAt) : 1;
+    return isColdStarted ? group.speedFactorAt(environment.now() - startedAt) : 1;
   }
 
   /** Accepts one more connection; returns false if it has reached the group's limit. */
@@ -204,7 +204,7 @@
     JobQueue.Job job = jobs.create(attempt, work);
     if (state == State.HUNG) {
       jobs.add(job);
-    } else if (draining || jobs.isFull()) {
+    } else if (isDraining || jobs.isFull()) {
       attempt.reply(AttemptOutcome.FULL);
     } else if (random.nextBoolean(failureShare)) {
       environment.schedule(ERROR_TIME, () -> attempt.reply(AttemptOutcome.ERROR));
@@ -215,13 +215,13 @@
 
   private boolean collapsesUnder(double work, long sentAt) {
     double speedFactor = speedFactor();
-    return coldStarted
+    return isColdStarted
         && speedFactor < 1
         && coldBudget.add(sentAt, work, fullCapacity() * speedFactor, true);
   }
 
   private void collapse(ReceivedAttempt lastAttempt) {
-    collapsed = true;
+    isCollapsed = true;
     environment.record(LedgerRecord.backendCollapsed(environment.now(), index));
     lastAttempt.completed(AttemptOutcome.RESET);
     environment.registry().scheduleFailureDetection(this);
@@ -279,6 +279,6 @@
 
   /** Refuses new requests from now on. */
   public void drain() {
-    draining = true;
+    isDraining = true;
   }
 }
--- a/lab/src/main/java/wheattrack/lab/report/LatencyPlot.java
+++ b/lab/src/main/java/wheattrack/lab/report/LatencyPlot.java
@@ -19,7 +19,10 @@
 
 /** Latency by percentile on a logarithmic axis, a curve for each run. */
 final class LatencyPlot {
-  private static final double[] PERCENTILES = {0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99};
+  private static final double MAX_PERCENTILE = 99.99;
+  private static final double[] PERCENTILES = {
+    0, 25, 50, 75, 90, 95, 99, 99.5, 99.9, MAX_PERCENTILE
+  };
 
   /** Where the axis begins, in milliseconds; a lower latency is drawn there. */
   private static final double MIN_MILLIS = 1;
@@ -36,7 +39,7 @@
     this.runs = runs;
     double max = MIN_AXIS_END_MILLIS;
     for (Run run : runs) {
-      max = Math.max(max, millis(run.verdict().latency(), 99.99));
+      max = Math.max(max, millis(run.verdict().latency(), MAX_PERCENTILE));
     }
     axisEndMillis = max;
   }
--- a/lab/src/main/java/wheattrack/lab/scenario/FaultReader.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/FaultReader.java
@@ -29,7 +29,7 @@
    *
    * @param isVirtual whether it runs on the virtual clock
    * @param duration the length of the run, in tenths of a millisecond
-   * @param deployment the size of what the faults may hit
+   * @param deployment the size of the deployment that the faults hit
    */
   FaultReader(boolean isVirtual, long duration, Deployment deployment) {
     this.isVirtual = isVirtual;
--- a/lab/src/main/java/wheattrack/lab/scenario/Scenario.java
+++ b/lab/src/main/java/wheattrack/lab/scenario/Scenario.java
@@ -107,7 +107,7 @@
   /**
    * How requests arrive.
    *
-   * @param rate mean rate, requests a second from all clients
+   * @param rate mean rate, requests per second from all clients
    * @param swing the largest increase of the rate over its mean, as a fraction of the mean
    * @param period the period of a wave, or the mean period of bursts
    * @param trace the rate of each second in turn, for {@link Shape#TRACE}
--- a/lab/src/main/java/wheattrack/lab/soak/SoakBackends.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakBackends.java
@@ -14,8 +14,13 @@
 final class SoakBackends implements AutoCloseable {
   private static final int BACKEND_COUNT = 3;
   private static final int LISTEN_BACKLOG = 500;
+
+  /** How long a backend takes to answer a request. */
   private static final int SERVICE_MILLIS = 4;
-  private static final int KEEP_ALIVE_MILLIS = 1000;
+
+  /** Interval of the empty lines that are sent to a watch as heartbeats. */
+  private static final int HEARTBEAT_MILLIS = 1000;
+
   private static final String WATCH_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
   private final List<ServerSocket> listeners = new ArrayList<>();
@@ -110,7 +115,7 @@
       sendChunk(socket, list() + "\n");
       watches.add(socket);
       while (true) {
-        Thread.sleep(KEEP_ALIVE_MILLIS);
+        Thread.sleep(HEARTBEAT_MILLIS);
         sendChunk(socket, "\n");
       }
     } finally {
--- a/lab/src/main/java/wheattrack/lab/soak/SoakClient.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakClient.java
@@ -43,6 +43,8 @@
   /** How many bytes a stopping client leaves out to end within the head. */
   private static final int MISSING_BYTES_IN_HEAD = 40;
 
+  private static final double MILLIS_PER_SECOND = 1000.0;
+
   private static final String[] CLASSES = {"look", "mark", "pay"};
   private static final String NON_IDEMPOTENT = "pay";
 
@@ -224,7 +226,7 @@
         + "\r\nRequest-Class: "
         + className
         + "\r\nRequest-Timeout: "
-        + SoakRun.REQUEST_TIMEOUT_MILLIS / 1000.0
+        + SoakRun.REQUEST_TIMEOUT_MILLIS / MILLIS_PER_SECOND
         + "\r\nContent-Length: "
         + body.length()
         + "\r\n\r\n"
--- a/lab/src/main/java/wheattrack/lab/soak/SoakRun.java
+++ b/lab/src/main/java/wheattrack/lab/soak/SoakRun.java
@@ -352,7 +352,7 @@
    * Prints the log lines of a client that was closed too late, and those of the process's phases.
    */
   private static void printLinesOf(int clientPort, String log) {
-    System.out.println("  kept: port " + clientPort);
+    System.out.println("  connection not closed in time: port " + clientPort);
     log.lines()
         .filter(line -> line.contains(":" + clientPort + ",") || line.contains(" phase "))
         .forEach(line -> System.out.println("    " + line));
--- a/lab/src/main/java/wheattrack/lab/sockets/BackendServer.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/BackendServer.java
@@ -62,10 +62,10 @@
         stopListening();
         List.copyOf(connections).forEach(Connection::reset);
       }
-      case SILENT -> List.copyOf(connections).forEach(connection -> connection.silent = true);
+      case SILENT -> List.copyOf(connections).forEach(connection -> connection.isSilent = true);
       case UP -> {
         List.copyOf(connections).stream()
-            .filter(connection -> connection.silent)
+            .filter(connection -> connection.isSilent)
             .forEach(Connection::reset);
         listen();
       }
@@ -87,7 +87,7 @@
               run,
               ports[proxy],
               LoopbackListener.LARGE_BACKLOG,
-              channel -> accepted(channel, proxy));
+              channel -> connectionAccepted(channel, proxy));
       ports[proxy] = listener.port();
       listeners.add(listener);
     }
@@ -98,10 +98,10 @@
     listeners.clear();
   }
 
-  private void accepted(AsynchronousSocketChannel channel, int proxy) {
+  private void connectionAccepted(AsynchronousSocketChannel channel, int proxy) {
     Connection connection = new Connection(channel, proxy);
     connections.add(connection);
-    connection.silent = backend.state() == SimulatedBackend.State.SILENT;
+    connection.isSilent = backend.state() == SimulatedBackend.State.SILENT;
     connection.open();
   }
 
@@ -111,9 +111,9 @@
     private final AsynchronousSocketChannel channel;
     private final int proxy;
     private final int incarnation = backend.incarnation();
-    private boolean silent;
+    private boolean isSilent;
     private boolean holdsBackendConnection;
-    private boolean unused = true;
+    private boolean isUnused = true;
     private Runnable closeHandler;
 
     Connection(AsynchronousSocketChannel channel, int proxy) {
@@ -123,7 +123,7 @@
     }
 
     void open() {
-      holdsBackendConnection = silent || backend.tryAcceptConnection();
+      holdsBackendConnection = isSilent || backend.tryAcceptConnection();
       if (holdsBackendConnection) {
         read(decoder.writableBuffer());
       } else {
@@ -143,7 +143,7 @@
       }
       try {
         Request request = decoder.next();
-        if (request != null && !silent) {
+        if (request != null && !isSilent) {
           receive(request);
         }
         read(decoder.writableBuffer());
@@ -165,8 +165,8 @@
                     false)));
         return;
       }
-      boolean isFirst = unused;
-      unused = false;
+      boolean isFirst = isUnused;
+      isUnused = false;
       long deadline = run.now() + timeoutOf(request);
       Attempt attempt = new Attempt(Long.parseLong(id, 16), work, deadline);
       backend.receive(attempt, firstByteSentAt(), isFirst);
--- a/lab/src/main/java/wheattrack/lab/sockets/EncodedRequest.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/EncodedRequest.java
@@ -13,7 +13,7 @@
 final class EncodedRequest {
   private final ClientRequest clientRequest;
   private final ByteBuffer bytes;
-  private boolean accepted;
+  private boolean isAccepted;
 
   EncodedRequest(ClientRequest clientRequest) {
     this.clientRequest = clientRequest;
@@ -60,10 +60,10 @@
 
   /** Whether its last byte has been written, on any connection. */
   boolean isAccepted() {
-    return accepted;
+    return isAccepted;
   }
 
   void markAccepted() {
-    accepted = true;
+    isAccepted = true;
   }
 }
--- a/lab/src/main/java/wheattrack/lab/sockets/FaultyLink.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/FaultyLink.java
@@ -117,7 +117,7 @@
     private long receivedAt;
     private int port;
     private int bytesForwarded;
-    private boolean held;
+    private boolean isHoldingBytes;
 
     Side(AsynchronousSocketChannel channel, boolean fromBackend) {
       super(run.loop(), channel);
@@ -148,7 +148,7 @@
         receivedAt = run.now();
       }
       if (hasFault(Kind.LINK_HOLD)) {
-        held = true;
+        isHoldingBytes = true;
         return;
       }
       forwardBuffer();
@@ -156,8 +156,8 @@
 
     /** Forwards the bytes that LINK_HOLD has held back, if any. */
     void release() {
-      if (held && !isClosed()) {
-        held = false;
+      if (isHoldingBytes && !isClosed()) {
+        isHoldingBytes = false;
         forwardBuffer();
       }
     }
--- a/lab/src/main/java/wheattrack/lab/sockets/LoadConnection.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/LoadConnection.java
@@ -26,10 +26,10 @@
   private final LoadConnectionPool pool;
   private final SocketRun run;
   private final ResponseDecoder decoder = new ResponseDecoder();
-  private EncodedRequest current;
+  private EncodedRequest currentRequest;
   private EncodedRequest lastRequest;
   private ByteBuffer output;
-  private boolean reused;
+  private boolean isReused;
   private boolean hasResponseBytes;
   private int exchanges;
 
@@ -41,7 +41,7 @@
 
   /** Connects and then sends the first request. */
   void connectAndSend(EncodedRequest request) {
-    current = request;
+    currentRequest = request;
     connect(
         pool.address(),
         () -> send(request, false),
@@ -54,7 +54,7 @@
   /** Whether it waits for the answer to this request. */
   @SuppressWarnings("ReferenceEquality") // each request is an object of its own
   boolean carries(ClientRequest request) {
-    return current != null && current.clientRequest() == request;
+    return currentRequest != null && currentRequest.clientRequest() == request;
   }
 
   /**
@@ -66,8 +66,8 @@
     if (isClosed()) {
       return;
     }
-    current = request;
-    reused = isReused;
+    currentRequest = request;
+    this.isReused = isReused;
     hasResponseBytes = false;
     exchanges++;
     output = request.bytes();
@@ -77,18 +77,18 @@
 
   @Override
   protected void onWritten(boolean complete) {
-    if (current == null || output.hasRemaining()) {
+    if (currentRequest == null || output.hasRemaining()) {
       return;
     }
-    if (complete && !current.isAccepted() && current.clientRequest().isOpen()) {
-      current.markAccepted();
-      recordAccepted(current);
-      EncodedRequest sent = current;
+    if (complete && !currentRequest.isAccepted() && currentRequest.clientRequest().isOpen()) {
+      currentRequest.markAccepted();
+      recordAccepted(currentRequest);
+      EncodedRequest sentRequest = currentRequest;
       run.schedule(
-          sent.timeout() + ANSWER_GRACE,
+          sentRequest.timeout() + ANSWER_GRACE,
           () -> {
-            if (current == sent) { // a missing answer is judged by the referee, from the ledger
-              close();
+            if (currentRequest == sentRequest) {
+              close(); // the referee judges the missing answer, from the ledger
             }
           });
     }
@@ -117,7 +117,7 @@
       Response response = decoder.next();
       if (response == null) {
         read(decoder.writableBuffer());
-      } else if (current == null) { // an unexpected second answer to the last request
+      } else if (currentRequest == null) { // an unexpected second answer to the last request
         run.clients().answered(lastRequest.clientRequest(), Answer.FAILED, 0);
         close();
       } else {
@@ -129,8 +129,8 @@
   }
 
   private void answered(Response response) {
-    lastRequest = current;
-    current = null;
+    lastRequest = currentRequest;
+    currentRequest = null;
     Answer answer = answerOf(response, lastRequest.clientRequest());
     String header = response.headers().first("Retry-After");
     long retryAfter = header == null ? 0 : (long) (Double.parseDouble(header) * Scenario.SECOND);
@@ -175,13 +175,13 @@
    * So only a request on a reused connection, without any bytes of an answer, is sent again.
    */
   private void connectionEnded() {
-    EncodedRequest lostRequest = current;
-    current = null;
+    EncodedRequest lostRequest = currentRequest;
+    currentRequest = null;
     close();
     if (lostRequest == null) {
       return;
     }
-    if (reused && !hasResponseBytes && pool.proxy().isUp()) {
+    if (isReused && !hasResponseBytes && pool.proxy().isUp()) {
       run.countResentRequest();
       pool.send(lostRequest);
     } else {
--- a/lab/src/main/java/wheattrack/lab/sockets/LoopbackListener.java
+++ b/lab/src/main/java/wheattrack/lab/sockets/LoopbackListener.java
@@ -31,12 +31,13 @@
       SocketRun run, int port, int backlog, Consumer<AsynchronousSocketChannel> acceptor) {
     this.run = run;
     this.acceptor = acceptor;
+    InetSocketAddress address = new InetSocketAddress(SocketRun.LOOPBACK, port);
     try {
       channel = AsynchronousServerSocketChannel.open(run.group());
       channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      channel.bind(new InetSocketAddress(SocketRun.LOOPBACK, port), backlog);
+      channel.bind(address, backlog);
     } catch (IOException e) {
-      throw new UncheckedIOException(e);
+      throw new UncheckedIOException("cannot listen on " + address + ": " + e.getMessage(), e);
     }
     acceptNext();
   }
--- a/lab/src/main/java/wheattrack/lab/virtual/BaselinePolicy.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/BaselinePolicy.java
@@ -21,6 +21,9 @@
 final class BaselinePolicy implements LoadBalancer {
   private static final int NONE = -1;
 
+  /** Backends for which there is space at first; the array grows as needed. */
+  private static final int INITIAL_BACKENDS = 16;
+
   /** Delay before the endpoint list is watched again. */
   private static final long WATCH_BACKOFF = Scenario.SECOND;
 
@@ -29,7 +32,7 @@
   private final RandomStream random;
   private final int maxAttempts;
   private final List<Integer> readyBackends = new ArrayList<>();
-  private int[] attemptsInFlight = new int[16];
+  private int[] attemptsInFlight = new int[INITIAL_BACKENDS];
   private int nextPosition;
 
   BaselinePolicy(Policies.Kind kind, PolicyRuntime runtime, RandomStream random, int maxAttempts) {
@@ -110,7 +113,7 @@
   private final class BaselineRequest implements RequestHandle {
     private final PendingRequest request;
     private int attempts;
-    private boolean ended;
+    private boolean hasEnded;
     private boolean mayHaveRun;
 
     BaselineRequest(PendingRequest request) {
@@ -133,7 +136,7 @@
     }
 
     private void giveUp() {
-      ended = true;
+      hasEnded = true;
       if (!mayHaveRun || isIdempotent()) {
         runtime.reject(request, 0);
       } else {
@@ -144,10 +147,10 @@
     private void attemptEnded(int backend, AttemptOutcome outcome, boolean requestEnded) {
       attemptsInFlight[backend]--;
       mayHaveRun |= !outcome.neverRan();
-      if (ended || requestEnded) {
-        ended = true;
+      if (hasEnded || requestEnded) {
+        hasEnded = true;
       } else if (!isIdempotent() && mayHaveRun) {
-        ended = true;
+        hasEnded = true;
         runtime.fail(request);
       } else {
         sendNext(backend);
@@ -165,7 +168,7 @@
 
     @Override
     public void clientDisconnected() {
-      ended = true;
+      hasEnded = true;
     }
   }
 }
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualAttempt.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualAttempt.java
@@ -23,8 +23,8 @@
   private final long createdAt;
   private final int proxyIncarnation;
   private TimerQueue.Timer timeoutTimer;
-  private boolean sent;
-  private boolean ended;
+  private boolean isSent;
+  private boolean hasEnded;
   private boolean holdsConnection;
   private int backendIncarnation;
   private Runnable closeHandler;
@@ -83,7 +83,7 @@
 
   /** Whether its first byte has been sent. */
   boolean isSent() {
-    return sent;
+    return isSent;
   }
 
   long createdAt() {
@@ -122,7 +122,7 @@
   private void connected(int incarnation, long delay) {
     if (incarnation != backend.incarnation()) {
       end(AttemptOutcome.NO_CONNECT);
-    } else if (ended || !isOfCurrentProxyProcess()) {
+    } else if (hasEnded || !isOfCurrentProxyProcess()) {
       backend.connectionClosed(incarnation);
     } else {
       send(delay, true);
@@ -140,7 +140,7 @@
       end(AttemptOutcome.DISCARDED);
       return;
     }
-    sent = true;
+    isSent = true;
     long sentAt = run.now();
     run.schedule(delay, () -> arrive(sentAt, onNewConnection));
   }
@@ -152,7 +152,7 @@
   }
 
   private void arrive(long sentAt, boolean onNewConnection) {
-    if (ended && backend.state() == SimulatedBackend.State.SILENT) {
+    if (hasEnded && backend.state() == SimulatedBackend.State.SILENT) {
       return;
     }
     if (backendIncarnation != backend.incarnation()) {
@@ -164,15 +164,15 @@
 
   /** Ends it on the proxy's side; with DISCARDED if no byte was sent, as it never ran then. */
   void abandon(AttemptOutcome outcome) {
-    end(sent ? outcome : AttemptOutcome.DISCARDED);
+    end(isSent ? outcome : AttemptOutcome.DISCARDED);
   }
 
   /** Ends it, once; further calls have no effect. */
   void end(AttemptOutcome outcome) {
-    if (ended) {
+    if (hasEnded) {
       return;
     }
-    ended = true;
+    hasEnded = true;
     connections.attemptEnded();
     run.cancel(timeoutTimer);
     releaseConnection(outcome);
@@ -217,7 +217,7 @@
 
   /** Ends it without an outcome and breaks its connection, as the proxy's process was killed. */
   void proxyKilled() {
-    ended = true;
+    hasEnded = true;
     run.cancel(timeoutTimer);
     boolean isConnected = holdsConnection && backendIncarnation == backend.incarnation();
     if (isConnected && closeHandler != null) {
--- a/lab/src/main/java/wheattrack/lab/virtual/VirtualRequest.java
+++ b/lab/src/main/java/wheattrack/lab/virtual/VirtualRequest.java
@@ -18,7 +18,7 @@
   private PendingRequest pending;
   private RequestHandle handle;
   private TimerQueue.Timer deadlineTimer;
-  private boolean ended;
+  private boolean hasEnded;
 
   VirtualRequest(ClientRequest clientRequest) {
     this.clientRequest = clientRequest;
@@ -56,11 +56,11 @@
 
   /** Whether it has its final answer, its client has disconnected or its proxy was killed. */
   boolean hasEnded() {
-    return ended;
+    return hasEnded;
   }
 
   void end() {
-    ended = true;
+    hasEnded = true;
   }
 
   /** Its attempts, in the order of their start. */
--- a/lab/src/test/java/wheattrack/docs/KnownRedTestsTest.java
+++ b/lab/src/test/java/wheattrack/docs/KnownRedTestsTest.java
@@ -29,7 +29,7 @@
 
   @Test
   void listNamesExactlyTheTaggedTests() {
-    assertEquals(taggedTests(), listedTests());
+    assertEquals(taggedTests(), listedTests(), "tests tagged known-red and those in " + LIST);
   }
 
   @Test
--- a/lab/src/test/java/wheattrack/lab/referee/RefereeTest.java
+++ b/lab/src/test/java/wheattrack/lab/referee/RefereeTest.java
@@ -31,8 +31,8 @@
         .toString();
   }
 
-  private static LedgerRecord answered(long at, Answer how) {
-    return LedgerRecord.answered(at, 1, how);
+  private static LedgerRecord answered(long at, Answer answer) {
+    return LedgerRecord.answered(at, 1, answer);
   }
 
   @Test
@@ -126,7 +126,8 @@
         referee.accept(LedgerRecord.answered(100, i, Answer.DONE));
       }
       Verdict verdict = referee.verdict();
-      assertEquals(isNotified ? 1 : 0, verdict.metrics().get("broken.cold"));
+      assertEquals(
+          isNotified ? 1 : 0, verdict.metrics().get("broken.cold"), "notified: " + isNotified);
     }
   }
 
--- a/lab/src/test/java/wheattrack/lab/report/HtmlReportTest.java
+++ b/lab/src/test/java/wheattrack/lab/report/HtmlReportTest.java
@@ -35,7 +35,7 @@
     Path file = directory.resolve("report.html");
     HtmlReport.write(file, List.of(new HtmlReport.Run("rules", referee.verdict())));
     String html = Files.readString(file);
-    assertTrue(html.endsWith("</html>\n"));
+    assertTrue(html.endsWith("</html>\n"), "the report is incomplete");
     List<String> labels =
         VERTICAL_LABEL.matcher(html).results().map((MatchResult match) -> match.group(1)).toList();
     assertEquals(List.of("0", "50%", "100%", "0", "1"), labels.subList(0, 5));
--- a/lab/src/test/java/wheattrack/lab/scale/ScaleTest.java
+++ b/lab/src/test/java/wheattrack/lab/scale/ScaleTest.java
@@ -74,8 +74,11 @@
           output.toString());
     }
     assertTrue(areChangeBytesBounded(measurements), output.toString());
-    assertTrue(Files.readString(directory.resolve("scale.html")).contains("polyline"));
-    assertEquals(3, Files.readAllLines(directory.resolve("scale.jsonl")).size());
+    assertTrue(
+        Files.readString(directory.resolve("scale.html")).contains("polyline"),
+        "scale.html has no curve");
+    assertEquals(
+        3, Files.readAllLines(directory.resolve("scale.jsonl")).size(), "lines of scale.jsonl");
   }
 
   /**
--- a/lab/src/test/java/wheattrack/lab/sockets/SocketRunTest.java
+++ b/lab/src/test/java/wheattrack/lab/sockets/SocketRunTest.java
@@ -93,9 +93,9 @@
     Referee referee = new Referee(scenario);
     try (SocketRun run = new SocketRun(scenario, 3, JAR, SocketRun.ProxyOptions.DEFAULT, referee)) {
       run.run();
-      assertTrue(liveChildProcesses() >= 2);
+      assertTrue(liveChildProcesses() >= 2, "fewer than two child processes are alive");
     }
-    assertEquals(0, liveChildProcesses());
+    assertEquals(0, liveChildProcesses(), "child processes still alive");
     Verdict verdict = referee.verdict();
     assertEquals(0, verdict.metrics().get("broken"), verdict.violations().toString());
     assertTrue(verdict.metrics().get("done") > 300, verdict.metrics().toString());
@@ -131,10 +131,10 @@
                 }
               });
       blocker.start();
-      assertTrue(run.run().isTooLate());
+      assertTrue(run.run().isTooLate(), "the run of the blocked lab counts as conclusive");
       blocker.interrupt();
     }
-    assertEquals(0, liveChildProcesses());
+    assertEquals(0, liveChildProcesses(), "child processes still alive");
   }
 
   @Test
@@ -145,7 +145,7 @@
         () ->
             new SocketRun(
                 scenario, 3, Path.of("no.jar"), SocketRun.ProxyOptions.DEFAULT, entry -> {}));
-    assertEquals(0, liveChildProcesses());
+    assertEquals(0, liveChildProcesses(), "child processes still alive");
   }
 
   /** Guards against proxies that go on running after the lab's process was terminated in a run. */
@@ -172,13 +172,13 @@
       Thread.sleep(100);
       proxies = lab.descendants().collect(Collectors.toList());
     }
-    assertEquals(2, proxies.size());
+    assertEquals(2, proxies.size(), "proxy processes of the lab");
     Thread.sleep(1500);
     lab.destroy();
-    assertTrue(lab.waitFor(10, TimeUnit.SECONDS));
+    assertTrue(lab.waitFor(10, TimeUnit.SECONDS), "the terminated lab is still alive");
     for (ProcessHandle proxy : proxies) {
       proxy.onExit().get(5, TimeUnit.SECONDS);
-      assertFalse(proxy.isAlive());
+      assertFalse(proxy.isAlive(), "proxy process " + proxy.pid() + " is still alive");
     }
     assertThrows(
         InvalidLedgerException.class, () -> Ledger.read(directory.resolve("out/sockets.ledger")));
@@ -199,7 +199,7 @@
     }
     Referee referee = new Referee(scenario);
     entries.forEach(referee);
-    assertEquals(0, referee.verdict().metrics().get("broken"));
+    assertEquals(0, referee.verdict().metrics().get("broken"), "broken rules");
     long drainEvents =
         entries.stream()
             .filter(
@@ -208,7 +208,7 @@
                         && entry.state() == LedgerRecord.State.DRAINING
                         && entry.backend() == 1)
             .count();
-    assertEquals(2, drainEvents);
+    assertEquals(2, drainEvents, "notifications that backend 1 is draining");
     long lateAttempts =
         entries.stream()
             .filter(
@@ -218,6 +218,6 @@
                         && entry.at() > 16_500
                         && entry.at() < 30_000)
             .count();
-    assertEquals(0, lateAttempts);
+    assertEquals(0, lateAttempts, "attempts at backend 1 after its drain");
   }
 }
--- a/lab/src/test/java/wheattrack/lab/virtual/ColdFleetTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/ColdFleetTest.java
@@ -78,7 +78,10 @@
                   List.of(),
                   verdict.unmetExpectations(),
                   name + ", seed " + seed + ": " + verdict.metrics());
-              assertEquals(0, verdict.metrics().get("fallen"));
+              assertEquals(
+                  0,
+                  verdict.metrics().get("fallen"),
+                  name + ", seed " + seed + ": collapsed backends");
             });
   }
 
@@ -96,7 +99,7 @@
             .mapToDouble(
                 seed -> play(name, 100, singleProxyView, seed).metrics().get("broken.cold"))
             .sum();
-    assertTrue(collapses > 0, "no backend collapsed");
+    assertTrue(collapses > 0, "no backend collapsed in " + name);
   }
 
   /**
@@ -111,7 +114,7 @@
           budget.add(requests, 100, 0.01, requests % 3 != 0),
           "collapsed under " + requests + " requests");
     }
-    assertTrue(budget.add(18, 100, 0.01, false));
+    assertTrue(budget.add(18, 100, 0.01, false), "not collapsed under 18 requests");
     assertFalse(
         budget.isCausedByInformedSenders()); // 12 of 18 from notified senders: not over two thirds
     assertTrue(budget.add(19, 100, 0.01, true));
--- a/lab/src/test/java/wheattrack/lab/virtual/FleetTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/FleetTest.java
@@ -31,8 +31,8 @@
  */
 class FleetTest {
   /**
-   * Sends all requests to the backend that started last, which overloads it when many proxies do
-   * so.
+   * Sends all requests to the backend that started last. This is right for a single proxy only:
+   * many proxies that do so overload the backend.
    */
   private static class NewestBackendPolicy extends StubPolicy {
     private final Map<Integer, Long> startTimes = new HashMap<>();
@@ -70,8 +70,8 @@
                 request,
                 latest,
                 0,
-                (outcome, latency, ended) -> {
-                  if (!ended) {
+                (outcome, latency, requestEnded) -> {
+                  if (!requestEnded) {
                     runtime().reject(request, 0);
                   }
                 });
@@ -171,8 +171,8 @@
               }
             });
     run.run();
-    assertEquals(oddNumbersBelow(60), coldBackends);
-    assertEquals(oddNumbersBelow(14), killedProxies);
+    assertEquals(oddNumbersBelow(60), coldBackends, "backends that started cold");
+    assertEquals(oddNumbersBelow(14), killedProxies, "killed proxies");
   }
 
   private static Set<Integer> oddNumbersBelow(int bound) {
--- a/lab/src/test/java/wheattrack/lab/virtual/VirtualRunTest.java
+++ b/lab/src/test/java/wheattrack/lab/virtual/VirtualRunTest.java
@@ -97,10 +97,10 @@
         request,
         ready.get((int) (request.arrivedAt() % ready.size())),
         0,
-        (outcome, latency, ended) -> {
-          if (!ended && outcome.neverRan()) {
+        (outcome, latency, requestEnded) -> {
+          if (!requestEnded && outcome.neverRan()) {
             runtime.reject(request, 0);
-          } else if (!ended) {
+          } else if (!requestEnded) {
             runtime.fail(request);
           }
         });
@@ -119,7 +119,7 @@
               DRAIN + CRASH.replace("place = 0", "place = 1"),
               (runtime, request, ready, everListed) -> forwardToReady(runtime, request, ready));
       assertEquals(0, verdict.metrics().get("broken"), verdict.violations().toString());
-      assertTrue(verdict.metrics().get("done") > 200);
+      assertTrue(verdict.metrics().get("done") > 200, verdict.metrics().toString());
     }
   }
 
@@ -154,7 +154,10 @@
                       2_000,
                       () ->
                           runtime.sendAttempt(
-                              request, ready.get(0), 1_000, (outcome, latency, ended) -> {}));
+                              request,
+                              ready.get(0),
+                              1_000,
+                              (outcome, latency, requestEnded) -> {}));
                 })));
   }
 
@@ -166,8 +169,8 @@
             runtime.reject(request, 0);
             return;
           }
-          runtime.sendAttempt(request, ready.get(0), 0, (outcome, latency, ended) -> {});
-          runtime.sendAttempt(request, ready.get(1), 0, (outcome, latency, ended) -> {});
+          runtime.sendAttempt(request, ready.get(0), 0, (outcome, latency, requestEnded) -> {});
+          runtime.sendAttempt(request, ready.get(1), 0, (outcome, latency, requestEnded) -> {});
         };
     assertBroken("effects", play("non-replayable", "", sendsTwice));
     assertEquals(0, play("replayable", "", sendsTwice).metrics().get("broken.effects"));
@@ -178,7 +181,8 @@
             "",
             whenReady(
                 (runtime, request, ready, everListed) -> {
-                  runtime.sendAttempt(request, ready.get(0), 0, (outcome, latency, ended) -> {});
+                  runtime.sendAttempt(
+                      request, ready.get(0), 0, (outcome, latency, requestEnded) -> {});
                   runtime.schedule(100, () -> runtime.reject(request, 0));
                 })));
   }
@@ -190,7 +194,7 @@
         (runtime, request, ready, everListed) -> forwardToReady(runtime, request, everListed);
     Verdict verdict = play("replayable", DRAIN, ignoresDrains);
     assertBroken("drains", verdict);
-    assertTrue(verdict.metrics().get("late-drain") > 700);
+    assertTrue(verdict.metrics().get("late-drain") > 700, verdict.metrics().toString());
   }
 
   /** All proxies send all requests to the backend that has just been restarted. */
@@ -239,8 +243,8 @@
           .run();
       checksums[i] = crc.getValue();
     }
-    assertEquals(checksums[0], checksums[1]);
-    assertNotEquals(checksums[0], checksums[2]);
+    assertEquals(checksums[0], checksums[1], "checksums of the ledgers of seed 9");
+    assertNotEquals(checksums[0], checksums[2], "checksums of the ledgers of seeds 9 and 10");
   }
 
   @Test
@@ -256,11 +260,11 @@
                         request,
                         ready.get(0),
                         5_000,
-                        (outcome, latency, ended) -> {
+                        (outcome, latency, requestEnded) -> {
                           outcomes.add(outcome);
                           runtime.fail(request);
                         })));
-    assertEquals(0, verdict.metrics().get("broken"));
+    assertEquals(0, verdict.metrics().get("broken"), verdict.violations().toString());
     assertEquals(List.of(AttemptOutcome.TIMEOUT), outcomes.stream().distinct().toList());
   }
 }
