--- a/proxy/src/main/java/wheattrack/core/RequestCounters.java
+++ b/proxy/src/main/java/wheattrack/core/RequestCounters.java
@@ -5,19 +5,19 @@
 import java.util.Map;
 
 /**
- * Counts, since the start of the process, answers to requests, attempts and changes of the
+ * Counts, since the start of the process, final answers to requests, attempts and changes of the
  * configuration. Runs on the event loop's thread only.
  */
 public final class RequestCounters {
   /** How a request ended for its client. */
   public enum FinalAnswer {
-    /** The client received a backend's answer. */
+    /** The client received a backend's response. */
     DONE,
 
     /** The request was rejected. */
     REJECTED,
 
-    /** The request was aborted after it had been admitted. */
+    /** The request failed after it had been admitted. */
     FAILED
   }
 
@@ -65,7 +65,7 @@
     return answersByClass.computeIfAbsent(name, key -> new AnswerCounts());
   }
 
-  /** The answers by request class, in the order in which the classes were first named. */
+  /** The final answers by request class, in the order in which the classes were first named. */
   public Map<String, AnswerCounts> answersByClass() {
     return Collections.unmodifiableMap(answersByClass);
   }
--- a/proxy/src/main/java/wheattrack/http/Headers.java
+++ b/proxy/src/main/java/wheattrack/http/Headers.java
@@ -109,7 +109,7 @@
     if (!LENGTH.matcher(value).matches()) {
       throw new MalformedMessageException(
           StatusCode.BAD_REQUEST,
-          "bad Content-Length, expected 1 to " + MAX_LENGTH_DIGITS + " digits: " + value);
+          "Content-Length: expected 1 to " + MAX_LENGTH_DIGITS + " digits, got " + value);
     }
     return Long.parseLong(value);
   }
--- a/proxy/src/main/java/wheattrack/http/MalformedMessageException.java
+++ b/proxy/src/main/java/wheattrack/http/MalformedMessageException.java
@@ -9,7 +9,7 @@
   /**
    * Creates the exception.
    *
-   * @param status the HTTP status code with which a server answers such bytes
+   * @param status the HTTP status code with which a server responds to such bytes
    * @param message one line for the peer and the log: what was expected and what was received
    */
   MalformedMessageException(int status, String message) {
@@ -17,7 +17,7 @@
     this.status = status;
   }
 
-  /** The HTTP status code with which a server answers such bytes. */
+  /** The HTTP status code with which a server responds to such bytes. */
   public int status() {
     return status;
   }
--- a/proxy/src/main/java/wheattrack/http/ReceiveBuffer.java
+++ b/proxy/src/main/java/wheattrack/http/ReceiveBuffer.java
@@ -29,7 +29,7 @@
   private ByteBuffer buffer = ByteBuffer.allocate(MIN_CAPACITY);
 
   /** The number of bytes at the start of the buffer known to contain no end of a head. */
-  private int scanned;
+  private int scannedBytes;
 
   /** The buffer for the next bytes received, to be filled by one read. */
   ByteBuffer writableBuffer() {
@@ -83,7 +83,7 @@
   /** Keeps the bytes left unread since {@link #startReading}. */
   void endReading() {
     buffer.compact();
-    scanned = 0;
+    scannedBytes = 0;
   }
 
   private byte[] removeFirst(int count) {
@@ -123,8 +123,8 @@
    */
   private int findHeadEnd() {
     byte[] bytes = buffer.array();
-    boolean hasBegun = hasText(bytes, scanned);
-    for (int i = scanned; i < buffer.position(); i++) {
+    boolean hasBegun = hasText(bytes, scannedBytes);
+    for (int i = scannedBytes; i < buffer.position(); i++) {
       if (bytes[i] == '\n') {
         if (hasBegun && endsEmptyLine(bytes, i)) {
           return i + 1;
@@ -133,7 +133,7 @@
         hasBegun = true;
       }
     }
-    scanned = buffer.position();
+    scannedBytes = buffer.position();
     return -1;
   }
 
--- a/proxy/src/main/java/wheattrack/net/JitWarmUp.java
+++ b/proxy/src/main/java/wheattrack/net/JitWarmUp.java
@@ -37,6 +37,9 @@
 final class JitWarmUp implements PolicyRuntime {
   private static final int BACKEND_COUNT = 8;
 
+  /** Seed of the random numbers of the policy. */
+  private static final long SEED = 1;
+
   /** Simulated time between two rounds over the request classes, in tenths of a millisecond. */
   private static final long ROUND_INTERVAL = 20;
 
@@ -66,7 +69,7 @@
   JitWarmUp(Settings settings) {
     RequestClass[] requestClasses = PolicySettingsMapper.requestClasses(settings);
     classes = PolicySettingsMapper.classesByName(settings, requestClasses);
-    loadBalancer = LoadBalancerFactory.create(settings, this, 1, requestClasses, false);
+    loadBalancer = LoadBalancerFactory.create(settings, this, SEED, requestClasses, false);
     for (int backend = 0; backend < BACKEND_COUNT; backend++) {
       loadBalancer.updateBackend(
           new EndpointUpdate(backend, backend, true, 0, 0, 0, 1, BackendIndex.LONG_AGO, true));
@@ -153,21 +156,21 @@
     Request message = ((ParsedRequest) request.attachment()).message();
     Encoder.request(ProtocolMapping.forwardedRequest(message, timeout));
     long sentAt = now;
-    timers.add(now + 1, () -> callback.ended(answer(message.body()), now - sentAt, true));
+    timers.add(now + 1, () -> callback.ended(respond(message.body()), now - sentAt, true));
   }
 
-  private AttemptOutcome answer(byte[] requestBody) {
+  private AttemptOutcome respond(byte[] requestBody) {
     Headers headers = new Headers().with("Content-Type", "application/json");
     byte[] body = new byte[requestBody.length % RESPONSE_BODY_LIMIT];
     responseDecoder
         .writableBuffer()
         .put(Encoder.response(new Response(StatusCode.OK, headers, true, body)));
     try {
-      Response answer = responseDecoder.next();
-      Encoder.response(ProtocolMapping.forwardedAnswer(answer, true, true));
-      return ProtocolMapping.attemptOutcome(answer);
+      Response response = responseDecoder.next();
+      Encoder.response(ProtocolMapping.forwardedResponse(response, true, true));
+      return ProtocolMapping.attemptOutcome(response);
     } catch (MalformedMessageException e) {
-      return AttemptOutcome.ERROR; // unreachable: synthetic answers are well-formed
+      return AttemptOutcome.ERROR; // unreachable: synthetic responses are well-formed
     }
   }
 
@@ -184,7 +187,7 @@
   @Override
   public void fail(PendingRequest request) {
     Encoder.response(
-        ProtocolMapping.textAnswer(
+        ProtocolMapping.textResponse(
             StatusCode.BAD_GATEWAY, "no usable response from a backend", true));
   }
 
--- a/proxy/src/main/java/wheattrack/net/ProxyServer.java
+++ b/proxy/src/main/java/wheattrack/net/ProxyServer.java
@@ -90,7 +90,7 @@
   private String listenFault;
 
   /**
-   * Creates a proxy that reads no load from backends' answers and watches no source of settings.
+   * Creates a proxy that reads no load from backends' responses and watches no source of settings.
    *
    * @throws IOException if its sockets cannot be opened
    * @throws InvalidConfigurationException if the admin address cannot be bound
@@ -102,7 +102,7 @@
   /**
    * Creates a proxy that watches no source of settings.
    *
-   * @param loadHeader header of backends' answers that holds their load; empty: answers hold none
+   * @param loadHeader header of backends' responses that holds their load; empty: none does
    * @throws IOException if its sockets cannot be opened
    * @throws InvalidConfigurationException if the admin address cannot be bound
    */
@@ -114,7 +114,7 @@
    * Creates a proxy. It listens immediately, unless an older process still listens at the address,
    * and accepts connections once it runs.
    *
-   * @param loadHeader header of backends' answers that holds their load; empty: answers hold none
+   * @param loadHeader header of backends' responses that holds their load; empty: none does
    * @param settingsSource where settings are watched, or null
    * @param scope the scope sent with requests for settings and for the endpoint list; empty: none
    * @throws IOException if its sockets cannot be opened
@@ -208,14 +208,14 @@
       return new AdminServer(loop, group, lifecycle, address, metrics::text);
     } catch (IOException e) {
       throw new InvalidConfigurationException(
-          "admin", "cannot bind " + address + ": " + e.getMessage());
+          "admin", "cannot listen on " + address + ": " + e.getMessage());
     }
   }
 
   /**
    * The port of the admin address; useful where the configured port is 0 and the system chooses it.
    *
-   * @throws IOException if the admin address is closed
+   * @throws IOException if the admin socket is closed
    */
   public int adminPort() throws IOException {
     return admin.port();
@@ -316,7 +316,7 @@
       }
       clientListener.startAccepting();
     } catch (IOException e) {
-      listenFault = "cannot bind " + address + ": " + e.getMessage();
+      listenFault = "cannot listen on " + address + ": " + e.getMessage();
       loop.shutdown();
     }
   }
--- a/proxy/src/main/java/wheattrack/net/backend/BackendConnectionPool.java
+++ b/proxy/src/main/java/wheattrack/net/backend/BackendConnectionPool.java
@@ -120,7 +120,8 @@
   /** Takes the attempt that waits longest and may still start, or null. */
   private BackendAttempt pollWaiting() {
     BackendAttempt attempt = waiting.pollFirst();
-    // After a pause of the process, attempts may be due that are past their deadline by now.
+    // After a stall of the process, waiting attempts may be past the time until which they may
+    // start.
     while (attempt != null && loop.now() >= attempt.latestStart()) {
       attempt.abandon(AttemptOutcome.DISCARDED);
       attempt = waiting.pollFirst();
--- a/proxy/src/main/java/wheattrack/net/client/ClientConnection.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientConnection.java
@@ -159,8 +159,8 @@
   }
 
   /**
-   * Whether its client takes longer to send a head than is allowed while others wait. Otherwise
-   * many clients that each send half a head could occupy all connections for 2.4 s.
+   * Whether its client takes longer to send a head than is allowed while others wait. Without this
+   * limit, many clients that each send half a head could occupy all connections for 2.4 s.
    */
   private boolean isHeadSlow() {
     return decoder.isMidMessage()
@@ -289,7 +289,7 @@
     }
     isBusy = true;
     hasUnreadRequest = true;
-    sendResponse(ProtocolMapping.textAnswer(status, reason, false));
+    sendResponse(ProtocolMapping.textResponse(status, reason, false));
   }
 
   /**
--- a/proxy/src/main/java/wheattrack/net/client/ClientListener.java
+++ b/proxy/src/main/java/wheattrack/net/client/ClientListener.java
@@ -288,7 +288,7 @@
     int status = lifecycle.isReady() ? StatusCode.OK : StatusCode.SERVICE_UNAVAILABLE;
     String text = lifecycle.phase().name() + readinessRemark.get();
     boolean keepsAlive = mayKeepAlive(request.keepAlive());
-    client.sendResponse(ProtocolMapping.textAnswer(status, text, keepsAlive));
+    client.sendResponse(ProtocolMapping.textResponse(status, text, keepsAlive));
   }
 
   /** Logs that the proxy itself, rather than a backend, responds to a request with an error. */
--- a/proxy/src/main/java/wheattrack/net/client/ConnectionTimeouts.java
+++ b/proxy/src/main/java/wheattrack/net/client/ConnectionTimeouts.java
@@ -16,12 +16,15 @@
   /** The longest time for a complete head, from connecting or from its first byte. */
   private static final long HEAD_TIMEOUT = 24_000;
 
+  /** The time for a head is divided by this while the connection limit is reached. */
+  private static final long FULL_DIVISOR = 10;
+
   /**
    * The longest time for a complete head while the connection limit is reached and others wait.
    * With 0.8 s, and four times as many clients with half a head as the connection limit, other
    * clients received their responses after their timeout.
    */
-  static final long HEAD_TIMEOUT_WHEN_FULL = HEAD_TIMEOUT / 10;
+  static final long HEAD_TIMEOUT_WHEN_FULL = HEAD_TIMEOUT / FULL_DIVISOR;
 
   /** The longest time between two requests. */
   private static final long IDLE_TIMEOUT = 20_500;
@@ -107,14 +110,14 @@
    */
   private void startDeferred(long time, Runnable onExpiry) {
     cancel();
-    long started = generation;
+    long startedGeneration = generation;
     timer =
         loop.schedule(
             time,
             () ->
                 loop.execute(
                     () -> {
-                      if (generation == started) {
+                      if (generation == startedGeneration) {
                         onExpiry.run();
                       }
                     }));
--- a/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
+++ b/proxy/src/main/java/wheattrack/net/discovery/BackendPoolTable.java
@@ -90,7 +90,7 @@
     String id = entry.id();
     long number = EndpointListParser.backendNumber(id);
     BackendConnectionPool knownPool = index.find(id);
-    boolean hasLeft =
+    boolean hasStoppedServing =
         isStale && knownPool != null && knownPool.hasStoppedServing(entry.startedAt());
     BackendConnectionPool pool = index.getOrAdd(id);
     boolean isNewlyListed = index.markListed(pool);
@@ -105,7 +105,7 @@
       overLimitCount++;
       return;
     }
-    boolean isReady = entry.state() == State.SERVING && !hasLeft;
+    boolean isReady = entry.state() == State.SERVING && !hasStoppedServing;
     loadBalancer.updateBackend(
         new EndpointUpdate(
             pool.index(),
--- a/proxy/src/main/java/wheattrack/net/protocol/InvalidRequestException.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/InvalidRequestException.java
@@ -1,7 +1,7 @@
 package wheattrack.net.protocol;
 
 /**
- * Thrown for a request that cannot be accepted; its message is the text of the answer to the
+ * Thrown for a request that cannot be accepted; its message is the text of the response to the
  * client.
  */
 public final class InvalidRequestException extends Exception {
@@ -12,15 +12,15 @@
   /**
    * Creates the exception.
    *
-   * @param status the HTTP status of the answer
-   * @param message the text of the answer
+   * @param status the HTTP status of the response
+   * @param message the text of the response
    */
   public InvalidRequestException(int status, String message) {
     super(message);
     this.status = status;
   }
 
-  /** The HTTP status of the answer to the client. */
+  /** The HTTP status of the response to the client. */
   public int status() {
     return status;
   }
--- a/proxy/src/main/java/wheattrack/net/protocol/ParsedRequest.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/ParsedRequest.java
@@ -10,7 +10,7 @@
  * @param message the request as it was received
  * @param className the name of its class, under which metrics count it
  * @param requestClass the settings of its class as they were when it was received
- * @param timeout how long its client waits for the answer, at most the timeout of its class
+ * @param timeout how long its client waits for the final answer, at most the timeout of its class
  * @param costHint the cost that its client expects; 0: no hint
  * @param clientRetry whether its client marked it as a retry
  */
--- a/proxy/src/main/java/wheattrack/net/protocol/ProtocolMapping.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/ProtocolMapping.java
@@ -111,7 +111,12 @@
       return defaultValue;
     }
     if (text.length() > MAX_NUMBER_LENGTH || !NON_NEGATIVE_DECIMAL.matcher(text).matches()) {
-      throw new InvalidRequestException(StatusCode.BAD_REQUEST, "bad " + name);
+      throw new InvalidRequestException(
+          StatusCode.BAD_REQUEST,
+          name
+              + ": expected a non-negative decimal number of at most "
+              + MAX_NUMBER_LENGTH
+              + " characters");
     }
     BigDecimal number = new BigDecimal(text).multiply(BigDecimal.valueOf(factor));
     return number.min(BigDecimal.valueOf(maximum)).longValue();
@@ -120,7 +125,7 @@
   /**
    * The request as a backend receives it.
    *
-   * @param timeout how long the proxy will wait for the answer; sent to the backend in a header
+   * @param timeout how long the proxy will wait for the response; sent to the backend in a header
    */
   public static Request forwardedRequest(Request request, long timeout) {
     Headers headers = endToEndHeaders(request.headers()).with(REQUEST_TIMEOUT, seconds(timeout));
@@ -158,56 +163,56 @@
     return new Request("GET", path, headers, true, EMPTY_BODY);
   }
 
-  /** The outcome of an attempt that received this complete answer. */
-  public static AttemptOutcome attemptOutcome(Response answer) {
-    if (answer.status() == StatusCode.OK) {
+  /** The outcome of an attempt that received this complete response. */
+  public static AttemptOutcome attemptOutcome(Response response) {
+    if (response.status() == StatusCode.OK) {
       return AttemptOutcome.DONE;
     }
     boolean mayBeFull =
-        answer.status() == StatusCode.SERVICE_UNAVAILABLE
-            || answer.status() == StatusCode.GATEWAY_TIMEOUT;
-    if (mayBeFull && "1".equals(answer.headers().first(NOT_STARTED))) {
+        response.status() == StatusCode.SERVICE_UNAVAILABLE
+            || response.status() == StatusCode.GATEWAY_TIMEOUT;
+    if (mayBeFull && "1".equals(response.headers().first(NOT_STARTED))) {
       return AttemptOutcome.FULL;
     }
     return AttemptOutcome.ERROR;
   }
 
   /**
-   * Whether a backend's answer has a status for a client error, so that no other backend could
+   * Whether a backend's response has a status for a client error, so that no other backend could
    * serve the request either.
    *
-   * @param answer the answer; null: none was received
+   * @param response the response; null: none was received
    */
-  public static boolean isClientError(Response answer) {
-    return answer != null && StatusCode.isClientError(answer.status());
+  public static boolean isClientError(Response response) {
+    return response != null && StatusCode.isClientError(response.status());
   }
 
   /**
-   * A backend's answer as the client receives it.
+   * A backend's response as the client receives it.
    *
-   * @param keepAlive whether the client's connection may stay open after the answer
-   * @param clientTakesChunks whether an answer of unknown length may be sent in chunks; otherwise
+   * @param keepAlive whether the client's connection may stay open after the response
+   * @param clientTakesChunks whether a response of unknown length may be sent in chunks; otherwise
    *     its end is marked by closing the connection
    */
-  public static Response forwardedAnswer(
-      Response answer, boolean keepAlive, boolean clientTakesChunks) {
-    Headers headers = endToEndHeaders(answer.headers());
-    if (answer.remainingBody().isNone()) {
-      String contentLength = answer.headers().first(CONTENT_LENGTH);
+  public static Response forwardedResponse(
+      Response response, boolean keepAlive, boolean clientTakesChunks) {
+    Headers headers = endToEndHeaders(response.headers());
+    if (response.remainingBody().isNone()) {
+      String contentLength = response.headers().first(CONTENT_LENGTH);
       if (contentLength != null) {
         headers.with(CONTENT_LENGTH, contentLength);
       }
     }
-    BodyFraming remainingBody = answer.remainingBody();
+    BodyFraming remainingBody = response.remainingBody();
     if (!remainingBody.hasKnownLength()) {
       remainingBody = clientTakesChunks ? BodyFraming.CHUNKED : BodyFraming.UNTIL_CLOSE;
     }
     boolean staysOpen = keepAlive && !remainingBody.isUntilClose();
-    return new Response(StatusCode.OK, headers, staysOpen, answer.body(), remainingBody);
+    return new Response(StatusCode.OK, headers, staysOpen, response.body(), remainingBody);
   }
 
   /**
-   * The answer to a rejected request.
+   * The response to a rejected request.
    *
    * @param retryAfter how long the client should wait before a retry; 0: no advice is sent
    */
@@ -219,8 +224,8 @@
     return new Response(StatusCode.SERVICE_UNAVAILABLE, headers, keepAlive, EMPTY_BODY);
   }
 
-  /** An answer from the proxy itself, with a line of text. */
-  public static Response textAnswer(int status, String text, boolean keepAlive) {
+  /** A response from the proxy itself, with a line of text. */
+  public static Response textResponse(int status, String text, boolean keepAlive) {
     return Response.text(status, text, keepAlive);
   }
 
--- a/proxy/src/main/java/wheattrack/net/request/RequestHandler.java
+++ b/proxy/src/main/java/wheattrack/net/request/RequestHandler.java
@@ -172,7 +172,7 @@
     listener.logErrorResponse(reason.status(), reason.getMessage());
     boolean keepAlive = listener.mayKeepAlive(message.keepAlive());
     client.sendResponse(
-        ProtocolMapping.textAnswer(reason.status(), reason.getMessage(), keepAlive));
+        ProtocolMapping.textResponse(reason.status(), reason.getMessage(), keepAlive));
   }
 
   private void accept(InFlightRequest request) {
@@ -274,7 +274,7 @@
   /**
    * Gives the final answer to an open request.
    *
-   * @param kind under which it is counted and logged
+   * @param kind the kind of final answer that is counted and logged
    */
   void answer(InFlightRequest request, FinalAnswer kind, Response response) {
     settle(request);
@@ -307,13 +307,13 @@
   }
 
   private void failWith(InFlightRequest request, int status, String text) {
-    Response response = ProtocolMapping.textAnswer(status, text, mayKeepAlive(request));
+    Response response = ProtocolMapping.textResponse(status, text, mayKeepAlive(request));
     answer(request, FinalAnswer.FAILED, response);
   }
 
   /** A backend's response as the client of this request receives it. */
   Response toClientResponse(InFlightRequest request, Response backendResponse) {
-    return ProtocolMapping.forwardedAnswer(
+    return ProtocolMapping.forwardedResponse(
         backendResponse, mayKeepAlive(request), request.parsed().message().acceptsChunks());
   }
 
--- a/proxy/src/main/java/wheattrack/net/request/SocketPolicyRuntime.java
+++ b/proxy/src/main/java/wheattrack/net/request/SocketPolicyRuntime.java
@@ -76,7 +76,7 @@
     attempt.setLatestStart(request.latestAttemptStart());
     request.addAttempt(attempt);
     if (request.isBodyConsumed()) {
-      attempt.backend().attemptStarted();
+      attempt.backend().attemptStarted(); // must precede the end, which counts it as ended
       attempt.abandon(AttemptOutcome.DISCARDED);
       return;
     }
--- a/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
+++ b/proxy/src/test/java/wheattrack/aio/EventLoopTest.java
@@ -12,6 +12,12 @@
   private static final long SLOW_TASK_NANOS = 100_000;
   private static final long STALL_MILLIS = 100;
 
+  /** A delay in ticks that ends during the stall. */
+  private static final long SHORT_DELAY = 300;
+
+  /** A delay in ticks that ends after the stall and all slow tasks. */
+  private static final long LONG_DELAY = 5000;
+
   private final StringBuilder trace = new StringBuilder();
   private final EventLoop loop = new EventLoop();
   private int slowTasksRun;
@@ -46,11 +52,12 @@
     throw new IllegalStateException("a failed step must not end the loop");
   }
 
-  private void start() {
+  private void scheduleSteps() {
     loop.schedule(
-        300, () -> record("timer at 30 ms, before the last tasks: " + (slowTasksRun < SLOW_TASKS)));
+        SHORT_DELAY,
+        () -> record("timer at 30 ms, before the last tasks: " + (slowTasksRun < SLOW_TASKS)));
     loop.schedule(
-        5000,
+        LONG_DELAY,
         () -> {
           record("timer at 500 ms, tasks run: " + slowTasksRun);
           loop.shutdown();
@@ -62,7 +69,7 @@
   /** After a stall, late timers wait for queued tasks, but only for a limited time. */
   @Test
   void runsTasksBeforeLateTimersAfterStall() {
-    loop.execute(this::start);
+    loop.execute(this::scheduleSteps);
     Logger.getLogger("wheattrack").setLevel(Level.OFF);
     loop.run();
     assertEquals(
--- a/proxy/src/test/java/wheattrack/aio/StallRecoveryTest.java
+++ b/proxy/src/test/java/wheattrack/aio/StallRecoveryTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A process that was stalled, which may happen for up to 0.15 s, reads what has arrived before it
- * runs the timers that are late: a response in a socket's buffer must not count as timed out.
+ * A process that was stalled, which the operators allow for up to 0.15 s, reads what has arrived
+ * before it runs the timers that are late: a response in a socket's buffer must not count as timed
+ * out.
  */
 class StallRecoveryTest {
   private static final int SECONDS = 5;
--- a/proxy/src/test/java/wheattrack/aio/TaskOrderTest.java
+++ b/proxy/src/test/java/wheattrack/aio/TaskOrderTest.java
@@ -86,7 +86,7 @@
       for (int i = 0; i < expected.size(); i++) {
         seen.add(events.poll(SECONDS, TimeUnit.SECONDS));
       }
-      assertEquals(expected, seen);
+      assertEquals(expected, seen, "events of round " + round);
     }
   }
 
--- a/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
+++ b/proxy/src/test/java/wheattrack/core/IndexTablesTest.java
@@ -17,6 +17,9 @@
   private static final int BACKENDS = 60;
   private static final int REPLACEMENTS = 500;
 
+  /** The highest index that may be assigned during the replacements. */
+  private static final int MAX_INDEX = 122;
+
   private static final class TestBackend extends BackendIndex.Backend<String> {
     private boolean isBusy;
 
@@ -103,7 +106,7 @@
         backends.find("s" + oldRound + "-" + oldRound % BACKENDS).isBusy = false;
       }
     }
-    assertTrue(maxIndex <= 122, "highest index " + maxIndex);
-    assertNull(backends.find("s0-0"));
+    assertTrue(maxIndex <= MAX_INDEX, "expected no index over " + MAX_INDEX + ", got " + maxIndex);
+    assertNull(backends.find("s0-0"), "a replaced backend whose index was reused");
   }
 }
--- a/proxy/src/test/java/wheattrack/http/HttpCodecTest.java
+++ b/proxy/src/test/java/wheattrack/http/HttpCodecTest.java
@@ -91,11 +91,12 @@
       start += count;
       for (Request next = decoder.next(); next != null; next = decoder.next()) {
         last = next;
-        assertEquals(expectedBody, text(next.body()));
+        assertEquals(expectedBody, text(next.body()), "body, with the cut at " + cut);
       }
     }
     assertTrue(
-        last != null && last.remainingBody().isEmpty() && !decoder.isMidMessage(), "cut at " + cut);
+        last != null && last.remainingBody().isEmpty() && !decoder.isMidMessage(),
+        "expected two complete messages with the cut at " + cut);
   }
 
   /**
@@ -235,7 +236,7 @@
   }
 
   /** Records how each text is decoded by a new decoder, and compares that with a trace. */
-  private void decodesAsInTrace(
+  private void assertDecodedAsInTrace(
       String traceName, Supplier<Decoder<?>> newDecoder, List<String> texts) throws IOException {
     for (String text : texts) {
       recordMessages(newDecoder.get(), text);
@@ -245,7 +246,7 @@
 
   @Test
   void decodesValidRequestsAndRejectsOthers() throws IOException {
-    decodesAsInTrace(
+    assertDecodedAsInTrace(
         "http-requests",
         RequestDecoder::new,
         List.of(
@@ -286,7 +287,7 @@
 
   @Test
   void decodesValidResponsesAndRejectsOthers() throws IOException {
-    decodesAsInTrace(
+    assertDecodedAsInTrace(
         "http-answers",
         ResponseDecoder::new,
         List.of(
--- a/proxy/src/test/java/wheattrack/net/client/ClientEvictionTest.java
+++ b/proxy/src/test/java/wheattrack/net/client/ClientEvictionTest.java
@@ -73,7 +73,7 @@
   private static final class ImmediateResponder implements ClientListener.RequestReceiver {
     @Override
     public void onRequest(ClientConnection client, Request request) {
-      client.sendResponse(ProtocolMapping.textAnswer(200, "ok", true));
+      client.sendResponse(ProtocolMapping.textResponse(200, "ok", true));
     }
 
     @Override
@@ -175,8 +175,10 @@
           listener.closeIdleConnections();
         });
     String outcome = readOutcome(client);
-    assertTrue(outcome.equals("reset") || outcome.equals(SERVED), outcome);
-    assertEquals(0, listener.counters().droppedReads());
+    assertTrue(
+        outcome.equals("reset") || outcome.equals(SERVED),
+        "expected a reset or a response, got " + outcome);
+    assertEquals(0, listener.counters().droppedReads(), "reads dropped by closed connections");
   }
 
   /**
--- a/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
+++ b/proxy/src/test/java/wheattrack/net/discovery/EndpointListParserTest.java
@@ -83,7 +83,7 @@
       JsonObjectReader entry = json(testCase[0]);
       Exception error =
           assertThrows(InvalidConfigurationException.class, () -> parser.entry(entry));
-      assertEquals(testCase[1], error.getMessage());
+      assertEquals(testCase[1], error.getMessage(), "message for " + testCase[0]);
     }
   }
 
--- a/proxy/src/test/java/wheattrack/net/settings/JitteredBackoffTest.java
+++ b/proxy/src/test/java/wheattrack/net/settings/JitteredBackoffTest.java
@@ -15,7 +15,9 @@
   private void assertDelayWithin(long pause) {
     for (int i = 0; i < 100; i++) {
       long delay = backoff.nextDelay();
-      assertTrue(delay >= pause / 2 && delay <= pause, delay + " for a pause of " + pause);
+      assertTrue(
+          delay >= pause / 2 && delay <= pause,
+          "expected a delay from half of " + pause + " to " + pause + ", got " + delay);
     }
   }
 
@@ -42,7 +44,7 @@
     backoff.increase();
     backoff.increase();
     backoff.reset();
-    assertEquals(0, backoff.nextDelay());
+    assertEquals(0, backoff.nextDelay(), "delay after a reset");
     backoff.increase();
     assertDelayWithin(SHORTEST);
   }
