--- a/proxy/src/main/java/wheattrack/http/ResponseDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/ResponseDecoder.java
@@ -33,7 +33,7 @@
   }
 
   /**
-   * Sets whether the next responses answer HEAD requests; they have no body, whatever length their
+   * Sets whether the next responses are to HEAD requests; they have no body, whatever length their
    * headers give.
    */
   public void expectNoBody(boolean isExpected) {
--- a/proxy/src/main/java/wheattrack/net/ProcessHandover.java
+++ b/proxy/src/main/java/wheattrack/net/ProcessHandover.java
@@ -80,7 +80,7 @@
     if (processLock.refresh() == ProcessLock.Role.OLDER) {
       clientListener.stopAccepting(); // the newer process accepts the new connections
     } else if (clientListener.isListening()) {
-      clientListener.startAccepting(); // clients in the accept queue must get an answer
+      clientListener.startAccepting(); // clients in the accept queue must get a response
     }
     ProxyConfig config = reloader.config();
     loop.schedule(config.drainTime(), () -> loop.execute(this::close));
--- a/proxy/src/main/java/wheattrack/net/protocol/ProtocolMapping.java
+++ b/proxy/src/main/java/wheattrack/net/protocol/ProtocolMapping.java
@@ -114,7 +114,7 @@
       throw new InvalidRequestException(
           StatusCode.BAD_REQUEST,
           name
-              + ": expected a non-negative decimal number of at most "
+              + ": expected an unsigned decimal number, up to "
               + MAX_NUMBER_LENGTH
               + " characters");
     }
--- a/proxy/src/test/java/wheattrack/net/protocol/ProtocolMappingTest.java
+++ b/proxy/src/test/java/wheattrack/net/protocol/ProtocolMappingTest.java
@@ -60,11 +60,11 @@
         1.: timeout 10000, cost 1
         99999999999999999999: timeout 12000, cost 536870911
         18446744073709551617: timeout 12000, cost 536870911
-        1e3: 400 Request-Timeout: expected a non-negative decimal number of at most 20 characters
-        -1: 400 Request-Timeout: expected a non-negative decimal number of at most 20 characters
-        .5: 400 Request-Timeout: expected a non-negative decimal number of at most 20 characters
-        : 400 Request-Timeout: expected a non-negative decimal number of at most 20 characters
-        123456789012345678901: 400 Request-Timeout: expected a non-negative decimal number of at most 20 characters
+        1e3: 400 Request-Timeout: expected an unsigned decimal number, up to 20 characters
+        -1: 400 Request-Timeout: expected an unsigned decimal number, up to 20 characters
+        .5: 400 Request-Timeout: expected an unsigned decimal number, up to 20 characters
+        : 400 Request-Timeout: expected an unsigned decimal number, up to 20 characters
+        123456789012345678901: 400 Request-Timeout: expected an unsigned decimal number, up to 20 characters
         """,
         results.toString());
   }
