--- a/proxy/src/main/java/wheattrack/http/ChunkedDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/ChunkedDecoder.java
@@ -92,7 +92,7 @@
     if (sizeDigits == 0 || sizeDigits > MAX_SIZE_DIGITS || !isAfterSize) {
       throw new MalformedMessageException(
           StatusCode.BAD_REQUEST,
-          "bad chunk size, expected 1 to " + MAX_SIZE_DIGITS + " hexadecimal digits");
+          "chunk size: expected 1 to " + MAX_SIZE_DIGITS + " hexadecimal digits");
     }
     state = State.EXTENSION;
     decodeExtension(c);
--- a/proxy/src/main/java/wheattrack/http/Decoder.java
+++ b/proxy/src/main/java/wheattrack/http/Decoder.java
@@ -277,8 +277,7 @@
   static void checkVersion(String version) throws MalformedMessageException {
     if (!version.equals(HTTP_1_1) && !version.equals(HTTP_1_0)) {
       throw new MalformedMessageException(
-          StatusCode.BAD_REQUEST,
-          "unsupported HTTP version, expected " + HTTP_1_1 + " or " + HTTP_1_0);
+          StatusCode.BAD_REQUEST, "HTTP version: expected " + HTTP_1_1 + " or " + HTTP_1_0);
     }
   }
 }
--- a/proxy/src/main/java/wheattrack/http/Headers.java
+++ b/proxy/src/main/java/wheattrack/http/Headers.java
@@ -126,14 +126,14 @@
       if (isNamed(i, TRANSFER_ENCODING)) {
         if (isChunked || !values.get(i).equalsIgnoreCase("chunked")) {
           throw new MalformedMessageException(
-              StatusCode.BAD_REQUEST, "unsupported Transfer-Encoding, expected chunked once");
+              StatusCode.BAD_REQUEST, "Transfer-Encoding: expected chunked once");
         }
         isChunked = true;
       }
     }
     if (isChunked && first(CONTENT_LENGTH) != null) {
       throw new MalformedMessageException(
-          StatusCode.BAD_REQUEST, "both Content-Length and Transfer-Encoding, expected only one");
+          StatusCode.BAD_REQUEST, "Content-Length and Transfer-Encoding: expected only one");
     }
     return isChunked;
   }
--- a/proxy/src/main/java/wheattrack/http/ReceiveBuffer.java
+++ b/proxy/src/main/java/wheattrack/http/ReceiveBuffer.java
@@ -167,7 +167,7 @@
       String name = lines[i].substring(0, Math.max(0, colon));
       if (!isToken(name)) {
         throw new MalformedMessageException(
-            StatusCode.BAD_REQUEST, "bad header line " + i + ", expected NAME: VALUE");
+            StatusCode.BAD_REQUEST, "header line " + i + ": expected NAME: VALUE");
       }
       String value = lines[i].substring(colon + 1).strip();
       if (value.chars().anyMatch(ReceiveBuffer::isForbiddenInValue)) {
--- a/proxy/src/main/java/wheattrack/http/RequestDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/RequestDecoder.java
@@ -43,13 +43,13 @@
     String[] parts = requestLine.split(" ", -1);
     if (parts.length != 3 || !ReceiveBuffer.isToken(parts[0]) || !isTarget(parts[1])) {
       throw new MalformedMessageException(
-          StatusCode.BAD_REQUEST, "bad request line, expected METHOD /TARGET VERSION");
+          StatusCode.BAD_REQUEST, "request line: expected METHOD /TARGET VERSION");
     }
     String version = parts[2];
     checkVersion(version);
     if (!METHODS.contains(parts[0])) {
       throw new MalformedMessageException(
-          StatusCode.METHOD_NOT_ALLOWED, "unsupported method, expected one of " + METHOD_LIST);
+          StatusCode.METHOD_NOT_ALLOWED, "method: expected one of " + METHOD_LIST);
     }
     method = parts[0];
     target = parts[1];
--- a/proxy/src/main/java/wheattrack/http/ResponseDecoder.java
+++ b/proxy/src/main/java/wheattrack/http/ResponseDecoder.java
@@ -78,8 +78,7 @@
   static int parseStatus(String statusLine) throws MalformedMessageException {
     if (!STATUS_LINE.matcher(statusLine).matches()) {
       throw new MalformedMessageException(
-          StatusCode.BAD_GATEWAY,
-          "bad status line, expected HTTP/1.1 or HTTP/1.0 and a status code");
+          StatusCode.BAD_GATEWAY, "status line: expected HTTP/1.1 or HTTP/1.0 and a status code");
     }
     return Integer.parseInt(statusLine.substring(STATUS_START, STATUS_END));
   }
