--- a/proxy/src/main/java/wheattrack/config/ConfigurationReader.java
+++ b/proxy/src/main/java/wheattrack/config/ConfigurationReader.java
@@ -204,7 +204,7 @@
   public String choice(String key, List<String> words) {
     String found = text(key, words.get(0));
     if (!words.contains(found)) {
-      throw fault(key, "expected one of " + words + ", got '" + found + "'");
+      throw fault(key, "expected one of " + words + ", got " + OneLineText.quoted(found));
     }
     return found;
   }
--- a/proxy/src/main/java/wheattrack/config/DynamicSettingsUpdate.java
+++ b/proxy/src/main/java/wheattrack/config/DynamicSettingsUpdate.java
@@ -48,7 +48,8 @@
       String name = entry.text("name");
       if (changed.containsKey(name)) {
         throw new InvalidConfigurationException(
-            entry.key("name"), "expected a unique name, got '" + name + "' again");
+            entry.key("name"),
+            "expected a unique name, got " + OneLineText.quoted(name) + " again");
       }
       boolean isKnown = current.containsKey(name);
       if (entry.flag("gone")) {
@@ -81,7 +82,8 @@
       double quotaPerSecond = PolicySettingsMapper.quotaPerSecond(tenant);
       if (changed.put(name, isRemoved ? REMOVED : quotaPerSecond) != null) {
         throw new InvalidConfigurationException(
-            tenant.key("name"), "expected a unique name, got '" + name + "' again");
+            tenant.key("name"),
+            "expected a unique name, got " + OneLineText.quoted(name) + " again");
       }
       boolean isKnown = current.containsKey(name);
       if (isRemoved && isKnown) {
--- a/proxy/src/main/java/wheattrack/config/InvalidConfigurationException.java
+++ b/proxy/src/main/java/wheattrack/config/InvalidConfigurationException.java
@@ -1,6 +1,9 @@
 package wheattrack.config;
 
-/** A configuration that can't be used. The message names the key at fault. */
+/**
+ * A configuration that can't be used. The message names the key at fault. It is always one line:
+ * each control character and line break in it is replaced by a question mark.
+ */
 public final class InvalidConfigurationException extends RuntimeException {
   private static final long serialVersionUID = 1;
 
@@ -11,6 +14,6 @@
    * @param fault what is wrong with it
    */
   public InvalidConfigurationException(String key, String fault) {
-    super(key + ": " + fault);
+    super(OneLineText.of(key + ": " + fault));
   }
 }
--- a/proxy/src/main/java/wheattrack/config/MigrateCommand.java
+++ b/proxy/src/main/java/wheattrack/config/MigrateCommand.java
@@ -132,7 +132,7 @@
       return value == null ? null : Integer.valueOf(value);
     } catch (NumberFormatException e) {
       throw new InvalidConfigurationException(
-          "--" + name, "expected a whole number, got '" + value + "'");
+          "--" + name, "expected a whole number, got " + OneLineText.quoted(value));
     }
   }
 
@@ -147,7 +147,10 @@
             () ->
                 new InvalidConfigurationException(
                     "--reports",
-                    "expected one of " + LoadReportMode.KEYWORDS + ", got '" + keyword + "'"));
+                    "expected one of "
+                        + LoadReportMode.KEYWORDS
+                        + ", got "
+                        + OneLineText.quoted(keyword)));
   }
 
   private static String toJson(Map<String, Object> configuration, Path oldFile) {
--- a/proxy/src/main/java/wheattrack/config/Migration.java
+++ b/proxy/src/main/java/wheattrack/config/Migration.java
@@ -205,7 +205,8 @@
     List<?> zones = new JsonObjectReader(result).list("settings.zones");
     if (!zones.isEmpty() && !zones.contains(zone)) {
       throw new InvalidConfigurationException(
-          "--place", "expected one of settings.zones, " + zones + ", got '" + zone + "'");
+          "--place",
+          "expected one of settings.zones, " + zones + ", got " + OneLineText.quoted(zone));
     }
     settings.put("zones", List.of(zone));
     settings.put("zone", 0);
--- a/proxy/src/main/java/wheattrack/config/OperatorConfig.java
+++ b/proxy/src/main/java/wheattrack/config/OperatorConfig.java
@@ -96,7 +96,8 @@
     if (!header.matches(HEADER_NAME)) {
       throw section.fault(
           "answers-header",
-          "expected a header name of at most 64 letters, digits and '-', got '" + header + "'");
+          "expected a header name of at most 64 letters, digits and '-', got "
+              + OneLineText.quoted(header));
     }
     return header;
   }
@@ -117,9 +118,8 @@
       throw section.fault(
           "scope",
           "expected at most 256 names separated by commas,"
-              + " each of 1 to 64 letters, digits, '.', '_' and '-', got '"
-              + scope
-              + "'");
+              + " each of 1 to 64 letters, digits, '.', '_' and '-', got "
+              + OneLineText.quoted(scope));
     }
     return scope;
   }
--- a/proxy/src/main/java/wheattrack/config/ProxyConfig.java
+++ b/proxy/src/main/java/wheattrack/config/ProxyConfig.java
@@ -103,7 +103,7 @@
     check(
         DeploymentShape.KEYWORDS.contains(shape),
         "shape",
-        "expected one of " + DeploymentShape.KEYWORDS + ", got '" + shape + "'");
+        "expected one of " + DeploymentShape.KEYWORDS + ", got " + OneLineText.quoted(shape));
   }
 
   private static long readSeed(JsonObjectReader root) {
--- a/proxy/src/main/java/wheattrack/config/SettingsValidator.java
+++ b/proxy/src/main/java/wheattrack/config/SettingsValidator.java
@@ -65,7 +65,7 @@
       check(
           names.add(entry.text("name")),
           entry.key("name"),
-          "expected a unique name, got '" + entry.text("name") + "' again");
+          "expected a unique name, got " + OneLineText.quoted(entry.text("name")) + " again");
       checkRequestClass(entry);
     }
   }
@@ -87,7 +87,7 @@
     check(
         allowed.contains(keyword),
         object.key(path),
-        "expected one of " + allowed + ", got '" + keyword + "'");
+        "expected one of " + allowed + ", got " + OneLineText.quoted(keyword));
   }
 
   private static void checkPositiveTime(JsonObjectReader entry, String key) {
--- a/proxy/src/main/java/wheattrack/simulator/EndpointListHandler.java
+++ b/proxy/src/main/java/wheattrack/simulator/EndpointListHandler.java
@@ -5,6 +5,7 @@
 import java.util.Set;
 import wheattrack.api.EndpointUpdate;
 import wheattrack.api.LoadBalancer;
+import wheattrack.config.OneLineText;
 import wheattrack.core.BackendIndex;
 import wheattrack.simulator.SimulatorProtocol.Field;
 
@@ -43,9 +44,8 @@
               Field.LIST_MODE.wireName()
                   + ": expected one of "
                   + SimulatorProtocol.LIST_MODES
-                  + ", got '"
-                  + mode
-                  + "'");
+                  + ", got "
+                  + OneLineText.quoted(mode));
     }
   }
 
--- a/proxy/src/main/java/wheattrack/simulator/SimulatedProxy.java
+++ b/proxy/src/main/java/wheattrack/simulator/SimulatedProxy.java
@@ -9,6 +9,7 @@
 import wheattrack.api.RequestClass;
 import wheattrack.config.LoadBalancerFactory;
 import wheattrack.config.LoadReport;
+import wheattrack.config.OneLineText;
 import wheattrack.config.PolicySettingsMapper;
 import wheattrack.config.Settings;
 import wheattrack.config.TimeConversion;
@@ -146,9 +147,8 @@
     } catch (NumberFormatException e) {
       throw new InvalidInputException(
           Field.STICKY_KEY.wireName()
-              + ": expected a hexadecimal number of at most 64 bits, got '"
-              + key
-              + "'");
+              + ": expected a hexadecimal number of at most 64 bits, got "
+              + OneLineText.quoted(key));
     }
   }
 
